--- a/bench/src/capacity/entry.rs
+++ b/bench/src/capacity/entry.rs
@@ -80,7 +80,7 @@
 
 fn pick(seed: u64, targets: &[Target]) -> Outcome<Pick> {
     let mut pick = Pick::builder("zone-0".parse()?).seed(seed).build();
-    pick.set(Instant::now(), targets);
+    pick.set_targets(Instant::now(), targets);
     Ok(pick)
 }
 
@@ -100,7 +100,7 @@
     let mut many = || {
         for _ in 0..CHOICES {
             now += Duration::from_millis(1);
-            if let Some(guard) = shared.take(now, &need) {
+            if let Some(guard) = shared.acquire(now, &need) {
                 guard.end_at(now + LATENCY, Kind::Ok, Some(report()));
             }
         }
@@ -116,7 +116,7 @@
     let mut far = 0;
     for _ in 0..CALLS {
         now += GAP;
-        let Some(guard) = shared.take(now, &need) else {
+        let Some(guard) = shared.acquire(now, &need) else {
             continue;
         };
         let chosen = targets.iter().find(|t| t.instance == *guard.instance());
--- a/bench/src/policy/world.rs
+++ b/bench/src/policy/world.rs
@@ -160,7 +160,7 @@
             gate = gate.law(Law::Fixed).reserve(0.0).wait(ms(3_600_000));
         }
         Place {
-            pick: pick.way(self.scenario.way).build().into(),
+            pick: pick.network_delay(self.scenario.way).build().into(),
             flying: vec![0; self.scenario.targets],
             turn: place,
             retries: retry::Budget::new(retry::Setting::default()),
@@ -214,7 +214,7 @@
         };
         let targets: Vec<Target> = self.living(ms(0)).into_iter().map(target).collect();
         for place in &self.places {
-            place.pick.set(self.now, &targets);
+            place.pick.set_targets(self.now, &targets);
         }
     }
 
--- a/bench/src/policy/world/entry.rs
+++ b/bench/src/policy/world/entry.rs
@@ -30,7 +30,7 @@
         });
         let due = first + self.scenario.due[urgency.rank()];
         self.after(due - self.now, move |world| world.close(number, Kind::Lost));
-        self.places[entry].retries.first(self.now);
+        self.places[entry].retries.record_first_attempt(self.now);
         if !self.send(number) {
             self.close(number, Kind::Refused);
         }
@@ -130,11 +130,14 @@
         let hand_over = cause == Cause::NotRun;
         let mut need = Need::of(CALLERS[call.caller].1);
         need.exclude = &call.tried;
-        let room = || self.mode.has(Part::HandOver) && entry.pick.has_room(self.now, &need);
+        let room =
+            || self.mode.has(Part::HandOver) && entry.pick.has_available_target(self.now, &need);
         let granted = match self.mode.gate {
             false => call.tried.len() < TRIES,
             true if hand_over && !room() => false,
-            true => entry.retries.ask(self.now, &mut call.allowance, cause),
+            true => entry
+                .retries
+                .try_spend(self.now, &mut call.allowance, cause),
         };
         self.handed += usize::from(granted && hand_over);
         self.repeats += usize::from(granted && !hand_over);
@@ -193,10 +196,10 @@
     pub(super) fn probe(&mut self, entry: usize) {
         self.after(PROBE, move |world| world.probe(entry));
         let place = &mut self.places[entry];
-        let oldest = place.pick.oldest(self.now);
+        let oldest = place.pick.stalest(self.now);
         let mut names = self.names.iter();
         let target = names.position(|name| Some(name) == oldest.as_ref());
-        if let Some(target) = target.filter(|_| place.budget.probe(self.now, false)) {
+        if let Some(target) = target.filter(|_| place.budget.try_probe(self.now, false)) {
             self.tell_one(2 * self.way(entry, target), entry, target);
         }
     }
--- a/bench/src/policy/world/target.rs
+++ b/bench/src/policy/world/target.rs
@@ -86,7 +86,7 @@
         let first = self.draw.below(count);
         for entry in (first..first + count).map(|entry| entry % count) {
             let budget = &mut self.places[target].budget;
-            if budget.notice(self.now, &self.names[entry], hot) {
+            if budget.try_notify(self.now, &self.names[entry], hot) {
                 self.tell_one(self.way(entry, target), entry, target);
             }
         }
@@ -96,7 +96,7 @@
         let report = self.report(target);
         self.after(wait, move |world| {
             let pick = &world.places[entry].pick;
-            pick.hear(world.now, &world.names[target], report);
+            pick.receive_report(world.now, &world.names[target], report);
         });
     }
 
@@ -156,7 +156,8 @@
         let call = &self.calls[ended.call];
         let (entry, urgency) = (&self.names[call.entry], CALLERS[call.caller].1);
         let budget = &mut self.places[ended.target].budget;
-        let rides = self.mode.has(Part::Ride) && budget.ride(self.now, entry, urgency, &report);
+        let rides =
+            self.mode.has(Part::Ride) && budget.try_attach(self.now, entry, urgency, &report);
         let report = rides.then_some(report);
         self.after(ended.way, move |world| world.back(number, kind, report));
     }
--- a/crates/appleshore/src/profile.rs
+++ b/crates/appleshore/src/profile.rs
@@ -89,7 +89,7 @@
                 ..feed::Pace::default()
             };
             profile.policy = policy();
-            profile.choice.far_cost = FAR_COST;
+            profile.choice.cross_zone_cost = FAR_COST;
         }
         profile
     }
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -283,7 +283,7 @@
         let Some(each) = route.per_caller else {
             return Ok(None);
         };
-        let entered = self.places(&rule.name, each).enter(caller);
+        let entered = self.places(&rule.name, each).admit(caller);
         let refused = |e| {
             Refusal::not_run(Reason::CallerLimit)
                 .detail(e)
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use parking_lot::Mutex;
-use pick::{Wheel, limit};
+use pick::{RoundRobin, limit};
 use rule::Route;
 use serde::Serialize;
 use tokio::sync::watch;
@@ -25,7 +25,7 @@
     upstreams: Mutex<BTreeMap<Service, Arc<Upstream>>>,
     places: Mutex<BTreeMap<String, Place>>,
     /// Deals the requests of each weighted route.
-    wheels: Mutex<HashMap<String, Wheel>>,
+    round_robins: Mutex<HashMap<String, RoundRobin>>,
     /// What callers of each route say they will wait.
     waits: Mutex<HashMap<String, Patience>>,
     /// Entries that share the retry budget.
@@ -69,7 +69,7 @@
             setting,
             upstreams: Mutex::default(),
             places: Mutex::default(),
-            wheels: Mutex::default(),
+            round_robins: Mutex::default(),
             waits: Mutex::default(),
             members: AtomicUsize::new(1),
             closing: AtomicBool::new(false),
@@ -82,7 +82,9 @@
 
     /// Sets the targets of a service, as the roster has them.
     pub fn set_targets(&self, service: &Service, targets: &[pick::Target]) {
-        self.upstream(service).pick.set(Instant::now(), targets);
+        self.upstream(service)
+            .pick
+            .set_targets(Instant::now(), targets);
     }
 
     /// What this entry knows of the targets of `service`.
@@ -117,11 +119,14 @@
             return route.service.clone();
         }
         let weights: Vec<u32> = route.split.iter().map(|part| part.weight).collect();
-        let mut wheels = self.wheels.lock();
-        if wheels.len() >= MOST_ROUTES {
-            wheels.clear();
+        let mut round_robins = self.round_robins.lock();
+        if round_robins.len() >= MOST_ROUTES {
+            round_robins.clear();
         }
-        let part = wheels.entry(rule.to_string()).or_default().turn(&weights);
+        let part = round_robins
+            .entry(rule.to_string())
+            .or_default()
+            .next_part(&weights);
         route.split[part].service.clone()
     }
 
@@ -138,7 +143,7 @@
     /// Notes whether there is a link to `instance`.
     pub fn set_cut(&self, instance: &Instance, cut: bool) {
         for upstream in self.upstreams.lock().values() {
-            upstream.pick.set_cut(instance, cut);
+            upstream.pick.set_unreachable(instance, cut);
         }
     }
 
@@ -146,7 +151,7 @@
     pub fn hear(&self, instance: &Instance, report: Report) {
         let now = Instant::now();
         for upstream in self.upstreams.lock().values() {
-            upstream.pick.hear(now, instance, report);
+            upstream.pick.receive_report(now, instance, report);
         }
     }
 
--- a/crates/entry/src/tries.rs
+++ b/crates/entry/src/tries.rs
@@ -126,7 +126,7 @@
 
     fn take(&self, exclude: &[Instance]) -> Option<Guard> {
         let need = self.need(exclude);
-        self.job.upstream.pick.take(Instant::now(), &need)
+        self.job.upstream.pick.acquire(Instant::now(), &need)
     }
 
     fn need<'e>(&self, exclude: &'e [Instance]) -> Need<'e> {
@@ -153,7 +153,7 @@
         let most = self.job.entry.setting.hand_overs.unwrap_or(0);
         let need = self.need(&self.tried);
         let pick = &self.job.upstream.pick;
-        self.handed + 1 < most && intake.sendable() && pick.has_quick(Instant::now(), &need)
+        self.handed + 1 < most && intake.sendable() && pick.has_fast_target(Instant::now(), &need)
     }
 
     fn next(&mut self, tried: Tried, intake: &Intake) -> Next {
@@ -260,7 +260,12 @@
             wire::Cause::Full | wire::Cause::Deadline | wire::Cause::Shed
         );
         let need = self.need(&self.tried);
-        !crowded || self.job.upstream.pick.has_room(Instant::now(), &need)
+        !crowded
+            || self
+                .job
+                .upstream
+                .pick
+                .has_available_target(Instant::now(), &need)
     }
 
     fn no_target(&mut self) -> Refusal {
--- a/crates/entry/src/tries/copy.rs
+++ b/crates/entry/src/tries/copy.rs
@@ -90,7 +90,12 @@
             return Err("attempts");
         }
         let need = self.need(&self.tried);
-        if !self.job.upstream.pick.has_room(Instant::now(), &need) {
+        if !self
+            .job
+            .upstream
+            .pick
+            .has_available_target(Instant::now(), &need)
+        {
             return Err("room");
         }
         match self.job.budget.ask(&self.job.upstream, Cause::Hedge) {
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -33,7 +33,7 @@
         let parts = [entry.as_str().as_bytes(), service.as_str().as_bytes()];
         let seed = unit::Digest::of_parts(&parts).0 as u64;
         let pick = Pick::builder(zone.clone())
-            .way(*way)
+            .network_delay(*way)
             .seed(seed)
             .setting(*choice)
             .build();
@@ -51,12 +51,12 @@
 
     /// Counts a first try.
     pub(crate) fn first(&self, now: Instant) {
-        self.retry.lock().first(now);
+        self.retry.lock().record_first_attempt(now);
     }
 
     /// Asks the budget for one more try.
     pub(crate) fn ask(&self, now: Instant, allowance: &mut Allowance, cause: Cause) -> bool {
-        self.retry.lock().ask(now, allowance, cause)
+        self.retry.lock().try_spend(now, allowance, cause)
     }
 
     /// Takes in how long an answer took.
--- a/crates/pick/src/builder.rs
+++ b/crates/pick/src/builder.rs
@@ -28,15 +28,15 @@
     }
 
     /// The delay one way between two zones; 0.5 ms when not said.
-    pub fn way(mut self, way: Duration) -> Builder {
-        self.way = way;
+    pub fn network_delay(mut self, delay: Duration) -> Builder {
+        self.way = delay;
         self
     }
 
-    /// The delay one way to `zone`, where it differs from [`Builder::way`].
-    pub fn way_to(mut self, zone: Zone, way: Duration) -> Builder {
+    /// The delay one way to `zone`, where it differs from [`Builder::network_delay`].
+    pub fn network_delay_to(mut self, zone: Zone, delay: Duration) -> Builder {
         self.far.retain(|(known, _)| *known != zone);
-        self.far.push((zone, way));
+        self.far.push((zone, delay));
         self
     }
 
@@ -52,7 +52,7 @@
         self
     }
 
-    /// A choice without targets; [`Pick::set`] brings them.
+    /// A choice without targets; [`Pick::set_targets`] brings them.
     pub fn build(self) -> Pick {
         Pick::new(self)
     }
--- a/crates/pick/src/lib.rs
+++ b/crates/pick/src/lib.rs
@@ -13,7 +13,7 @@
 //!
 //! let now = Instant::now();
 //! let mut pick = Pick::builder("longbien".parse()?)
-//!     .way(Duration::from_micros(1_500))
+//!     .network_delay(Duration::from_micros(1_500))
 //!     .seed(7)
 //!     .build();
 //! let target = Target {
@@ -22,7 +22,7 @@
 //!     incarnation: Incarnation(1),
 //!     leaving: false,
 //! };
-//! pick.set(now, &[target]);
+//! pick.set_targets(now, &[target]);
 //!
 //! let chosen = pick.choose(now, &Need::of(Urgency::Urgent)).ok_or("no target")?;
 //! pick.begin(now, &chosen);
@@ -46,10 +46,10 @@
 mod pick;
 mod record;
 pub mod retry;
+mod round_robin;
 mod score;
 mod setting;
 mod shared;
-mod split;
 pub mod subset;
 mod target;
 mod tokens;
@@ -59,7 +59,7 @@
 pub use dump::Dump;
 pub use need::{Need, Preference};
 pub use pick::Pick;
+pub use round_robin::RoundRobin;
 pub use setting::Setting;
 pub use shared::{Basis, Guard, Shared};
-pub use split::Wheel;
 pub use target::Target;
--- a/crates/pick/src/limit.rs
+++ b/crates/pick/src/limit.rs
@@ -73,7 +73,7 @@
     ///
     /// [`Error::Caller`] when the caller has its limit already, [`Error::Table`] when too many
     /// callers have requests here.
-    pub fn enter(&self, caller: &Caller) -> Result<Guard, Error> {
+    pub fn admit(&self, caller: &Caller) -> Result<Guard, Error> {
         let mut running = self.running.lock();
         let count = running.get(caller).copied().unwrap_or(0);
         if count >= self.setting.each {
--- a/crates/pick/src/measure.rs
+++ b/crates/pick/src/measure.rs
@@ -93,7 +93,7 @@
     }
 
     /// Whether `report` rides on an answer of `urgency` to `entry`; it is then counted as spent.
-    pub fn ride(
+    pub fn try_attach(
         &mut self,
         now: Instant,
         entry: &Instance,
@@ -122,7 +122,7 @@
     /// Whether a probe or notice may go to `peer` now; it is then counted as spent.
     ///
     /// Only urgent calls, and peers not heard from, are worth one: pass `urgent` for these.
-    pub fn probe(&mut self, now: Instant, urgent: bool) -> bool {
+    pub fn try_probe(&mut self, now: Instant, urgent: bool) -> bool {
         let cost = PROBE_BYTES as f64;
         let keep = if urgent { 0.0 } else { self.full * KEPT };
         let keep = keep.min(self.full - cost);
@@ -138,9 +138,9 @@
     }
 
     /// Whether a notice that the gate turned hot or cold may go to `entry`; it is then counted.
-    pub fn notice(&mut self, now: Instant, entry: &Instance, hot: bool) -> bool {
+    pub fn try_notify(&mut self, now: Instant, entry: &Instance, hot: bool) -> bool {
         let known = self.told.get(entry).is_some_and(|told| told.hot == hot);
-        if known || !self.probe(now, true) {
+        if known || !self.try_probe(now, true) {
             return false;
         }
         self.tell(now, entry, hot);
--- a/crates/pick/src/pick.rs
+++ b/crates/pick/src/pick.rs
@@ -95,7 +95,7 @@
     /// Statistics of targets that stay are kept. One that comes, or comes with a new incarnation,
     /// gets its share as it gives answers. The first set of targets has nothing to compare with,
     /// so its members are taken as warm until their reports say otherwise.
-    pub fn set(&mut self, _now: Instant, targets: &[Target]) {
+    pub fn set_targets(&mut self, _now: Instant, targets: &[Target]) {
         let first = self.records.is_empty();
         self.known = targets.len();
         let mut chosen = subset::choose(self.seed, &self.zone, targets, &self.setting);
@@ -124,7 +124,7 @@
     ///
     /// A request that one gate has refused is worth a hand-over only then. When all are hot, a
     /// hand-over is one more refusal, and more load just where there is too much.
-    pub fn has_room(&self, now: Instant, need: &Need<'_>) -> bool {
+    pub fn has_available_target(&self, now: Instant, need: &Need<'_>) -> bool {
         let scale = self.scale(now);
         let able = self.able(now, need);
         able.into_iter()
@@ -133,7 +133,7 @@
 
     /// Whether some target that may serve the request has told that it is not slow, and was not hot
     /// when last heard from.
-    pub fn has_quick(&self, now: Instant, need: &Need<'_>) -> bool {
+    pub fn has_fast_target(&self, now: Instant, need: &Need<'_>) -> bool {
         let scale = self.scale(now);
         let able = self.able(now, need);
         able.into_iter().any(|place| {
@@ -172,7 +172,7 @@
     }
 
     /// Takes a report that came without an answer: of a probe, or a notice of a hot gate.
-    pub fn hear(&mut self, now: Instant, instance: &Instance, report: Report) {
+    pub fn receive_report(&mut self, now: Instant, instance: &Instance, report: Report) {
         if let Some(record) = self.find(instance) {
             record.hear(now, report);
             self.mean.hear(&report);
@@ -180,9 +180,9 @@
     }
 
     /// Notes whether there is a link to `instance`.
-    pub fn set_cut(&mut self, instance: &Instance, cut: bool) {
+    pub fn set_unreachable(&mut self, instance: &Instance, unreachable: bool) {
         if let Some(record) = self.find(instance) {
-            record.cut = cut;
+            record.cut = unreachable;
         }
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// The target that was not heard from for the longest time: the one worth a probe.
-    pub fn oldest(&self, now: Instant) -> Option<Instance> {
+    pub fn stalest(&self, now: Instant) -> Option<Instance> {
         let staying = self.records.iter().filter(|record| !record.target.leaving);
         let age = |record: &&Record| {
             let heard = record.heard;
@@ -281,7 +281,7 @@
             now,
             mean: &self.mean,
             half_life: self.setting.half_life,
-            far_cost: self.setting.far_cost,
+            cross_zone_cost: self.setting.cross_zone_cost,
         }
     }
 
--- a/crates/pick/src/retry.rs
+++ b/crates/pick/src/retry.rs
@@ -150,7 +150,7 @@
     }
 
     /// Counts a first try, of a caller's request or of a nested call.
-    pub fn first(&mut self, now: Instant) {
+    pub fn record_first_attempt(&mut self, now: Instant) {
         self.tokens.level(now);
         self.tokens.add(self.share);
         self.hedges.level(now);
@@ -163,7 +163,7 @@
     /// Whatever the answer, the allowance pays. A refused retry spends it whole, so that the
     /// entries above don't ask for the same request once more; a refused hedge leaves it, since
     /// the first try is still under way and may yet need a retry.
-    pub fn ask(&mut self, now: Instant, allowance: &mut Allowance, cause: Cause) -> bool {
+    pub fn try_spend(&mut self, now: Instant, allowance: &mut Allowance, cause: Cause) -> bool {
         let cost = match cause {
             Cause::Failed | Cause::Hedge => FULL_COST,
             Cause::NotRun => HAND_OVER_COST,
--- a/crates/pick/src/split.rs
+++ b/crates/pick/src/round_robin.rs
@@ -6,21 +6,21 @@
 /// off by more than one request for each other part.
 ///
 /// ```
-/// let mut wheel = pick::Wheel::default();
-/// let dealt: Vec<usize> = (0..5).map(|_| wheel.turn(&[3, 2])).collect();
+/// let mut round_robin = pick::RoundRobin::default();
+/// let dealt: Vec<usize> = (0..5).map(|_| round_robin.next_part(&[3, 2])).collect();
 /// assert_eq!(dealt, [0, 1, 0, 1, 0]);
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Wheel {
+pub struct RoundRobin {
     weights: Vec<u32>,
     owed: Vec<i64>,
 }
 
-impl Wheel {
+impl RoundRobin {
     /// The part that the next request goes to, for the weights of the parts in their order.
     ///
     /// Other weights than before start the deal anew. Without any weight it is the first part.
-    pub fn turn(&mut self, weights: &[u32]) -> usize {
+    pub fn next_part(&mut self, weights: &[u32]) -> usize {
         if self.weights != weights {
             self.weights = weights.to_vec();
             self.owed = vec![0; weights.len()];
--- a/crates/pick/src/score.rs
+++ b/crates/pick/src/score.rs
@@ -100,7 +100,7 @@
     pub(crate) now: Instant,
     pub(crate) mean: &'a Mean,
     pub(crate) half_life: Duration,
-    pub(crate) far_cost: f64,
+    pub(crate) cross_zone_cost: f64,
 }
 
 impl Scale<'_> {
@@ -112,7 +112,7 @@
         let trip = match need.zone {
             Preference::Any => 0.0,
             Preference::Near if !record.near => {
-                micros(record.trip) + self.far_cost * self.mean.service_us
+                micros(record.trip) + self.cross_zone_cost * self.mean.service_us
             }
             Preference::Near | Preference::Only => micros(record.trip),
         };
--- a/crates/pick/src/setting.rs
+++ b/crates/pick/src/setting.rs
@@ -14,12 +14,12 @@
     /// A report of this age counts half; the rest is the mean over the targets.
     pub half_life: Duration,
     /// More targets than this are cut down to a subset.
-    pub subset_over: usize,
+    pub subset_threshold: usize,
     /// Targets in the subset outside the entry's zone.
-    pub subset_far: usize,
+    pub subset_remote: usize,
     /// What a call to another zone costs beside the way there, in mean service times: bytes between
     /// zones are paid for. A request stays in its zone while the wait there is longer by less.
-    pub far_cost: f64,
+    pub cross_zone_cost: f64,
 }
 
 impl Default for Setting {
@@ -29,9 +29,9 @@
             best: 2,
             ramp: 64,
             half_life: Duration::from_millis(100),
-            subset_over: 16,
-            subset_far: 12,
-            far_cost: 0.0,
+            subset_threshold: 16,
+            subset_remote: 12,
+            cross_zone_cost: 0.0,
         }
     }
 }
--- a/crates/pick/src/shared.rs
+++ b/crates/pick/src/shared.rs
@@ -46,9 +46,9 @@
 }
 
 impl Shared {
-    /// See [`Pick::set`].
-    pub fn set(&self, now: Instant, targets: &[Target]) {
-        self.pick.lock().set(now, targets);
+    /// See [`Pick::set_targets`].
+    pub fn set_targets(&self, now: Instant, targets: &[Target]) {
+        self.pick.lock().set_targets(now, targets);
     }
 
     /// See [`Pick::choose`].
@@ -56,23 +56,23 @@
         self.pick.lock().choose(now, need)
     }
 
-    /// See [`Pick::has_room`].
-    pub fn has_room(&self, now: Instant, need: &Need<'_>) -> bool {
-        self.pick.lock().has_room(now, need)
+    /// See [`Pick::has_available_target`].
+    pub fn has_available_target(&self, now: Instant, need: &Need<'_>) -> bool {
+        self.pick.lock().has_available_target(now, need)
     }
 
-    /// See [`Pick::has_quick`].
-    pub fn has_quick(&self, now: Instant, need: &Need<'_>) -> bool {
-        self.pick.lock().has_quick(now, need)
+    /// See [`Pick::has_fast_target`].
+    pub fn has_fast_target(&self, now: Instant, need: &Need<'_>) -> bool {
+        self.pick.lock().has_fast_target(now, need)
     }
 
-    /// See [`Pick::hear`].
-    pub fn hear(&self, now: Instant, instance: &Instance, report: Report) {
-        self.pick.lock().hear(now, instance, report);
+    /// See [`Pick::receive_report`].
+    pub fn receive_report(&self, now: Instant, instance: &Instance, report: Report) {
+        self.pick.lock().receive_report(now, instance, report);
     }
 
     /// Chooses and begins under one lock, so that no two threads see the same idle target.
-    pub fn take(&self, now: Instant, need: &Need<'_>) -> Option<Guard> {
+    pub fn acquire(&self, now: Instant, need: &Need<'_>) -> Option<Guard> {
         let mut pick = self.pick.lock();
         let instance = pick.choose(now, need)?;
         Some(self.guard(&mut pick, now, &instance))
@@ -83,9 +83,9 @@
         self.guard(&mut self.pick.lock(), now, instance)
     }
 
-    /// See [`Pick::set_cut`].
-    pub fn set_cut(&self, instance: &Instance, cut: bool) {
-        self.pick.lock().set_cut(instance, cut);
+    /// See [`Pick::set_unreachable`].
+    pub fn set_unreachable(&self, instance: &Instance, unreachable: bool) {
+        self.pick.lock().set_unreachable(instance, unreachable);
     }
 
     /// See [`Pick::instances`].
@@ -93,9 +93,9 @@
         self.pick.lock().instances()
     }
 
-    /// See [`Pick::oldest`].
-    pub fn oldest(&self, now: Instant) -> Option<Instance> {
-        self.pick.lock().oldest(now)
+    /// See [`Pick::stalest`].
+    pub fn stalest(&self, now: Instant) -> Option<Instance> {
+        self.pick.lock().stalest(now)
     }
 
     /// See [`Pick::dump`].
--- a/crates/pick/src/subset.rs
+++ b/crates/pick/src/subset.rs
@@ -12,10 +12,10 @@
 
 /// The targets that the entry with `seed` in `zone` uses.
 ///
-/// Up to [`Setting::subset_over`] targets are all used. Of more, all in the own zone are, and the
-/// first [`Setting::subset_far`] of the others; one that leaves counts for nothing.
+/// Up to [`Setting::subset_threshold`] targets are all used. Of more, all in the own zone are, and the
+/// first [`Setting::subset_remote`] of the others; one that leaves counts for nothing.
 pub fn choose(seed: u64, zone: &Zone, targets: &[Target], setting: &Setting) -> Vec<Target> {
-    if targets.len() <= setting.subset_over {
+    if targets.len() <= setting.subset_threshold {
         return targets.to_vec();
     }
     let (near, far): (Vec<_>, Vec<_>) = targets.iter().partition(|target| target.zone == *zone);
@@ -25,7 +25,7 @@
         .map(|target| (rank(seed, target), target))
         .collect();
     ranked.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.instance.cmp(&b.1.instance)));
-    ranked.truncate(setting.subset_far);
+    ranked.truncate(setting.subset_remote);
     let far = ranked.into_iter().map(|(_, target)| target);
     near.into_iter().chain(far).cloned().collect()
 }
--- a/crates/pick/tests/decisions/budget.rs
+++ b/crates/pick/tests/decisions/budget.rs
@@ -39,11 +39,11 @@
         } else {
             Allowance::fresh()
         };
-        self.budgets[level].first(now);
+        self.budgets[level].record_first_attempt(now);
         loop {
             let back = self.call(now, level + 1, left);
             left = left.after(Kind::Error, Some(if self.carried { back } else { left }));
-            if !self.budgets[level].ask(now, &mut left, Cause::Failed) {
+            if !self.budgets[level].try_spend(now, &mut left, Cause::Failed) {
                 return left;
             }
         }
@@ -89,9 +89,9 @@
     let mut budget = Budget::new(retry::Setting::default());
     let mut granted = 0;
     for _ in 0..10_000 {
-        budget.first(now);
+        budget.record_first_attempt(now);
         let mut allowance = Allowance::fresh();
-        while budget.ask(now, &mut allowance, Cause::NotRun) {
+        while budget.try_spend(now, &mut allowance, Cause::NotRun) {
             granted += 1;
         }
     }
@@ -113,13 +113,13 @@
     let mut hedged = 0;
     for _ in 0..2_000 {
         now += Duration::from_millis(1);
-        budget.first(now);
+        budget.record_first_attempt(now);
         let mut allowance = Allowance::fresh();
-        hedged += u32::from(budget.ask(now, &mut allowance, Cause::Hedge));
+        hedged += u32::from(budget.try_spend(now, &mut allowance, Cause::Hedge));
     }
     assert!(hedged <= 204, "a tenth and the floor: {hedged}");
     let mut left = Allowance::fresh();
-    assert!(!budget.ask(now, &mut left, Cause::Hedge));
+    assert!(!budget.try_spend(now, &mut left, Cause::Hedge));
     assert_eq!(
         left,
         Allowance::fresh(),
@@ -137,8 +137,9 @@
     let calls = 4_000;
     for i in 0..calls {
         let now = start + Duration::from_millis(i);
-        budget.first(now);
-        let ask = |budget: &mut Budget, cause| budget.ask(now, &mut Allowance::fresh(), cause);
+        budget.record_first_attempt(now);
+        let ask =
+            |budget: &mut Budget, cause| budget.try_spend(now, &mut Allowance::fresh(), cause);
         copies += u64::from(ask(&mut budget, Cause::Hedge));
         retries += u64::from(ask(&mut budget, Cause::Failed));
     }
@@ -162,9 +163,9 @@
         } else {
             Urgency::Routine
         };
-        let rode = budget.ride(now, &name(i as usize % 37), urgency, &report(1, 0));
+        let rode = budget.try_attach(now, &name(i as usize % 37), urgency, &report(1, 0));
         urgent += u64::from(rode && urgency == Urgency::Urgent);
-        budget.probe(now, i % 100 == 0);
+        budget.try_probe(now, i % 100 == 0);
     }
     let spent = budget.spent();
     let most = setting.bytes.bytes() * 2;
@@ -185,14 +186,14 @@
     };
     let table = limit::Table::new(setting);
     let [a, b, c]: [Caller; 3] = ["a@x", "b@x", "c@y"].map(|text| text.parse().expect("a caller"));
-    let first = table.enter(&a).expect("room");
-    let second = table.enter(&a).expect("room");
-    let error = table.enter(&a).expect_err("its limit");
+    let first = table.admit(&a).expect("room");
+    let second = table.admit(&a).expect("room");
+    let error = table.admit(&a).expect_err("its limit");
     assert_eq!(error, limit::Error::Caller(a.clone(), 2));
-    let other = table.enter(&b).expect("room for a neighbour");
-    assert!(matches!(table.enter(&c), Err(limit::Error::Table(..))));
+    let other = table.admit(&b).expect("room for a neighbour");
+    assert!(matches!(table.admit(&c), Err(limit::Error::Table(..))));
     drop(first);
-    drop(table.enter(&a).expect("room again"));
+    drop(table.admit(&a).expect("room again"));
     drop((second, other));
     assert_eq!((table.running(&a), table.callers()), (0, 0));
 }
@@ -204,7 +205,7 @@
     let pick: Pick = crate::world::pick(Instant::now(), 1, 1);
     let shared = Shared::from(pick);
     let guard = shared
-        .take(Instant::now(), &pick::Need::default())
+        .acquire(Instant::now(), &pick::Need::default())
         .expect("a target");
     assert_eq!(shared.dump(Instant::now()).targets[0].running, 1);
     drop(guard);
@@ -228,10 +229,10 @@
             now += Duration::from_millis(wait);
             let mut allowance = Allowance::fresh();
             match step {
-                0 => budget.first(now),
-                1 => drop(budget.ask(now, &mut allowance, Cause::Failed)),
-                2 => drop(budget.ask(now, &mut allowance, Cause::Hedge)),
-                _ => drop(budget.ask(now, &mut allowance, Cause::NotRun)),
+                0 => budget.record_first_attempt(now),
+                1 => drop(budget.try_spend(now, &mut allowance, Cause::Failed)),
+                2 => drop(budget.try_spend(now, &mut allowance, Cause::Hedge)),
+                _ => drop(budget.try_spend(now, &mut allowance, Cause::NotRun)),
             }
             let count = budget.count();
             let spent = count.granted as f64 + count.handed as f64 / 2.0;
--- a/crates/pick/tests/decisions/choice.rs
+++ b/crates/pick/tests/decisions/choice.rs
@@ -67,7 +67,7 @@
     for entry in 0..37 {
         let mut pick = pick(heard, entry, 16);
         for i in 0..16 {
-            pick.hear(heard, &name(i), report(if i == 0 { 0 } else { 9 }, 0));
+            pick.receive_report(heard, &name(i), report(if i == 0 { 0 } else { 9 }, 0));
         }
         for _ in 0..16 {
             let chosen = pick
@@ -91,7 +91,7 @@
     let now = Instant::now();
     let mut pick = pick(now, 3, 5);
     for i in 0..5 {
-        pick.hear(now, &name(i), report(if i == 0 { 0 } else { 2 }, 0));
+        pick.receive_report(now, &name(i), report(if i == 0 { 0 } else { 2 }, 0));
     }
     let mut sent = [0; 5];
     for _ in 0..20 {
@@ -116,14 +116,14 @@
     let start = Instant::now();
     let mut pick = pick(start, 4, 5);
     for i in 0..5 {
-        pick.hear(start, &name(i), report(3, 0));
+        pick.receive_report(start, &name(i), report(3, 0));
     }
     for _ in 0..3 {
         pick.begin(start, &name(0));
     }
     let now = start + millis(100);
     for i in 1..5 {
-        pick.hear(now, &name(i), report(5, 0));
+        pick.receive_report(now, &name(i), report(5, 0));
     }
     let share = shares(&mut pick, now, Urgency::Routine, 5, TRIES)[0];
     assert!(share < 0.02, "{share}");
@@ -137,15 +137,15 @@
     let now = Instant::now();
     let mut pick = pick(now, 5, 4);
     for i in 0..4 {
-        pick.hear(now, &name(i), report(5, 0));
+        pick.receive_report(now, &name(i), report(5, 0));
     }
     let mut targets: Vec<Target> = (0..5).map(|i| target(i, "a")).collect();
-    pick.set(now, &targets);
+    pick.set_targets(now, &targets);
     let mut last = 0.0;
     for answered in [0, 8, 24, 40, 64] {
         let mut cold = report(0, 0);
         cold.answered = answered;
-        pick.hear(now, &name(4), cold);
+        pick.receive_report(now, &name(4), cold);
         let share = shares(&mut pick, now, Urgency::Routine, 5, TRIES)[4];
         assert!(share > last, "{answered} answers: {share} after {last}");
         assert!(answered > 0 || share < 0.02, "first share {share}");
@@ -153,7 +153,7 @@
     }
     // A restart brings a new incarnation, and the ramp begins again.
     targets[4].incarnation = Incarnation(2);
-    pick.set(now, &targets);
+    pick.set_targets(now, &targets);
     let share = shares(&mut pick, now, Urgency::Routine, 5, TRIES)[4];
     assert!(share < 0.15, "{share}");
 }
@@ -166,11 +166,11 @@
     let now = Instant::now();
     let zone = "a".parse().expect("a zone");
     let way = Duration::from_micros(1_500);
-    let mut pick = Pick::builder(zone).way(way).seed(6).build();
+    let mut pick = Pick::builder(zone).network_delay(way).seed(6).build();
     let targets: Vec<Target> = (0..4)
         .map(|i| target(i, if i == 0 { "a" } else { "b" }))
         .collect();
-    pick.set(now, &targets);
+    pick.set_targets(now, &targets);
     let load = |running: u16| Report {
         limit: 40,
         ..report(running.min(40), running.saturating_sub(40))
@@ -179,9 +179,9 @@
     let mut steepest: f64 = 0.0;
     for running in 0..=60 {
         for i in 1..4 {
-            pick.hear(now, &name(i), load(8));
+            pick.receive_report(now, &name(i), load(8));
         }
-        pick.hear(now, &name(0), load(running));
+        pick.receive_report(now, &name(0), load(running));
         let share = shares(&mut pick, now, Urgency::Routine, 4, TRIES)[0];
         assert!(share < last + 0.03, "{running}: {share} after {last}");
         steepest = steepest.max(last - share);
@@ -207,7 +207,7 @@
     let mut again = target(0, "a");
     again.incarnation = Incarnation(2);
     let now = start + millis(100);
-    pick.set(now, &[again, target(1, "a")]);
+    pick.set_targets(now, &[again, target(1, "a")]);
     pick.begin(now, &name(0));
     for _ in 0..10 {
         let mut lost = answer(Kind::Lost, 120, report(0, 0));
@@ -238,11 +238,11 @@
     let now = Instant::now();
     let mut pick = pick(now, 8, 5);
     for i in 0..5 {
-        pick.hear(now, &name(i), report(5, 0));
+        pick.receive_report(now, &name(i), report(5, 0));
     }
     let need = Need::of(Urgency::Routine);
     for i in 0..5 {
-        assert!(pick.has_room(now, &need), "{i} have refused");
+        assert!(pick.has_available_target(now, &need), "{i} have refused");
         pick.begin(now, &name(i));
         let mut refusal = answer(Kind::Refused, 0, report(5, 0));
         refusal.report = None;
@@ -252,8 +252,8 @@
             assert!(share < 0.02, "{share}");
         }
     }
-    assert!(!pick.has_room(now, &need));
-    assert!(pick.has_room(now + millis(101), &need));
+    assert!(!pick.has_available_target(now, &need));
+    assert!(pick.has_available_target(now + millis(101), &need));
 }
 
 proptest! {
@@ -272,7 +272,7 @@
             now += millis(wait);
             match step {
                 0 => leaving[i] = !leaving[i],
-                1 => pick.hear(now, &name(i), report(i as u16, wait as u16)),
+                1 => pick.receive_report(now, &name(i), report(i as u16, wait as u16)),
                 2 => drop(open.pop().map(|(at, chosen): (Instant, _)| {
                     let kind = [Kind::Ok, Kind::Error, Kind::Lost, Kind::Cancelled][i % 4];
                     let took = (now - at).as_millis() as u64;
@@ -290,7 +290,7 @@
             }
             let mut targets: Vec<Target> = (0..6).map(|i| target(i, "a")).collect();
             targets.iter_mut().zip(leaving).for_each(|(target, left)| target.leaving = left);
-            pick.set(now, &targets);
+            pick.set_targets(now, &targets);
             let running: usize = pick.dump(now).targets.iter().map(|line| line.running).sum();
             prop_assert_eq!(running, open.len());
         }
@@ -304,7 +304,7 @@
     // other, and nothing answers there.
     let now = Instant::now();
     let mut pick = pick(now, 1, 3);
-    pick.set_cut(&name(2), true);
+    pick.set_unreachable(&name(2), true);
     let refused = [name(0), name(1)];
     for urgency in [Urgency::Urgent, Urgency::Routine, Urgency::Batch] {
         let need = Need {
@@ -312,10 +312,10 @@
             ..Need::of(urgency)
         };
         assert_eq!(pick.choose(now, &need), None);
-        assert!(!pick.has_room(now, &need));
+        assert!(!pick.has_available_target(now, &need));
     }
-    pick.set_cut(&name(0), true);
-    pick.set_cut(&name(1), true);
+    pick.set_unreachable(&name(0), true);
+    pick.set_unreachable(&name(1), true);
     assert_eq!(pick.choose(now, &Need::of(Urgency::Routine)), None);
 }
 
@@ -328,13 +328,13 @@
     let mut pick = pick(now, 1, 2);
     let mut closed = report(0, 0);
     closed.closed = true;
-    pick.hear(now, &name(1), closed);
+    pick.receive_report(now, &name(1), closed);
     let refused = [name(0)];
     let need = Need {
         exclude: &refused,
         ..Need::of(Urgency::Routine)
     };
     assert_eq!(pick.choose(now, &need), None);
-    pick.hear(now, &name(0), closed);
+    pick.receive_report(now, &name(0), closed);
     assert!(pick.choose(now, &Need::of(Urgency::Routine)).is_some());
 }
--- a/crates/pick/tests/decisions/join.rs
+++ b/crates/pick/tests/decisions/join.rs
@@ -22,11 +22,11 @@
 fn pick(now: Instant) -> Pick {
     let zone: Zone = "near".parse().expect("a zone");
     let setting = Setting {
-        far_cost: 2.0,
+        cross_zone_cost: 2.0,
         ..Setting::default()
     };
     let mut pick = Pick::builder(zone).seed(7).setting(setting).build();
-    pick.set(
+    pick.set_targets(
         now,
         &[target("a", "near"), target("b", "near"), target("c", "far")],
     );
@@ -55,7 +55,7 @@
     chosen(&mut pick, &mut now, 50);
     let mut all = vec![target("a", "near"), target("b", "near"), target("c", "far")];
     all.push(target("d", "far"));
-    pick.set(now, &all);
+    pick.set_targets(now, &all);
     let asked = chosen(&mut pick, &mut now, 50);
     assert_eq!(
         asked.iter().filter(|name| *name == "d").count(),
@@ -78,9 +78,9 @@
         ..Need::of(Urgency::Routine)
     };
     for name in ["a", "b"] {
-        pick.hear(now, &name.parse().expect("a name"), report(10, 60));
+        pick.receive_report(now, &name.parse().expect("a name"), report(10, 60));
     }
-    pick.hear(now, &"c".parse().expect("a name"), report(0, 0));
+    pick.receive_report(now, &"c".parse().expect("a name"), report(0, 0));
     let instance = pick.choose(now, &need).expect("a target");
     assert_eq!(instance.as_str(), "c");
 }
@@ -92,14 +92,14 @@
     let mut now = Instant::now();
     let mut pick = pick(now);
     chosen(&mut pick, &mut now, 20);
-    pick.set_cut(&"a".parse().expect("a name"), true);
+    pick.set_unreachable(&"a".parse().expect("a name"), true);
     let asked = chosen(&mut pick, &mut now, 20);
     assert!(!asked.contains(&"a".to_string()), "{asked:?}");
     let closed = unit::Report {
         closed: true,
         ..report(0, 0)
     };
-    pick.hear(now, &"b".parse().expect("a name"), closed);
+    pick.receive_report(now, &"b".parse().expect("a name"), closed);
     let need = Need::of(Urgency::Routine);
     let instance = pick.choose(now, &need).expect("a target");
     assert_eq!(instance.as_str(), "c");
@@ -130,9 +130,9 @@
         .map(|seed| Pick::builder(zone.clone()).seed(seed).build())
         .collect();
     for pick in &mut entries {
-        pick.set(now, &old);
+        pick.set_targets(now, &old);
         chosen(pick, &mut now, 100);
-        pick.set(now, &all);
+        pick.set_targets(now, &all);
     }
     let need = Need::of(Urgency::Routine);
     let mut asked = std::collections::BTreeMap::new();
--- a/crates/pick/tests/decisions/subset.rs
+++ b/crates/pick/tests/decisions/subset.rs
@@ -92,7 +92,7 @@
         prop_assert!(near.into_iter().all(|target| chosen.contains(target)));
         let far = chosen.iter().filter(|target| target.zone != own).count();
         let all = count - count.div_ceil(3);
-        let most = if count <= setting.subset_over { all } else { setting.subset_far.min(all) };
+        let most = if count <= setting.subset_threshold { all } else { setting.subset_remote.min(all) };
         prop_assert_eq!(far, most);
         targets.rotate_left(turn % count);
         let again = subset::choose(seed, &own, &targets, &setting);
--- a/crates/pick/tests/decisions/turn.rs
+++ b/crates/pick/tests/decisions/turn.rs
@@ -15,21 +15,24 @@
         exclude: &tried,
         ..pick::Need::default()
     };
-    assert!(!pick.has_quick(now, &need), "nothing is known");
+    assert!(!pick.has_fast_target(now, &need), "nothing is known");
     let mut quick = report(1, 0);
     quick.pace = 100;
     let mut slow = quick;
     slow.pace = 500;
     slow.slow = true;
-    pick.hear(now, &name(1), slow);
-    assert!(!pick.has_quick(now, &need), "the only other one is slow");
-    pick.hear(now, &name(2), quick);
-    assert!(pick.has_quick(now, &need));
+    pick.receive_report(now, &name(1), slow);
+    assert!(
+        !pick.has_fast_target(now, &need),
+        "the only other one is slow"
+    );
+    pick.receive_report(now, &name(2), quick);
+    assert!(pick.has_fast_target(now, &need));
     let mut hot = quick;
     hot.hot = true;
-    pick.hear(now, &name(2), hot);
-    assert!(!pick.has_quick(now, &need), "it is full");
-    pick.hear(now, &name(2), quick);
-    pick.set_cut(&name(2), true);
-    assert!(!pick.has_quick(now, &need), "there is no way to it");
+    pick.receive_report(now, &name(2), hot);
+    assert!(!pick.has_fast_target(now, &need), "it is full");
+    pick.receive_report(now, &name(2), quick);
+    pick.set_unreachable(&name(2), true);
+    assert!(!pick.has_fast_target(now, &need), "there is no way to it");
 }
--- a/crates/pick/tests/decisions/world.rs
+++ b/crates/pick/tests/decisions/world.rs
@@ -26,7 +26,7 @@
     let zone = "a".parse().expect("a zone");
     let mut pick = Pick::builder(zone).seed(seed).build();
     let targets: Vec<Target> = (0..count).map(|i| target(i, "a")).collect();
-    pick.set(now, &targets);
+    pick.set_targets(now, &targets);
     pick
 }
 
--- a/crates/target/src/server.rs
+++ b/crates/target/src/server.rs
@@ -126,7 +126,7 @@
         let report = self.gate.report();
         let budget = &mut self.measure.lock().budget;
         budget
-            .ride(Instant::now(), entry, urgency, &report)
+            .try_attach(Instant::now(), entry, urgency, &report)
             .then_some(report)
     }
 
