--- a/crates/pick/src/builder.rs
+++ b/crates/pick/src/builder.rs
@@ -1,4 +1,4 @@
-//! How a [`Pick`] is made.
+//! The builder of a [`Pick`].
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use crate::{Pick, Setting};
 
-/// How a [`Pick`] is made; see [`Pick::builder`].
+/// Builds a [`Pick`]; see [`Pick::builder`].
 #[derive(Debug, Clone)]
 pub struct Builder {
     pub(crate) zone: Zone,
-    pub(crate) way: Duration,
-    pub(crate) far: Vec<(Zone, Duration)>,
+    pub(crate) network_delay: Duration,
+    pub(crate) zone_delays: Vec<(Zone, Duration)>,
     pub(crate) seed: u64,
     pub(crate) setting: Setting,
 }
@@ -20,39 +20,39 @@
     pub(crate) fn new(zone: Zone) -> Builder {
         Builder {
             zone,
-            way: Duration::from_micros(500),
-            far: Vec::new(),
+            network_delay: Duration::from_micros(500),
+            zone_delays: Vec::new(),
             seed: 0,
             setting: Setting::default(),
         }
     }
 
-    /// The delay one way between two zones; 0.5 ms when not said.
+    /// Sets the one-way network delay between two zones; 0.5 ms by default.
     pub fn network_delay(mut self, delay: Duration) -> Builder {
-        self.way = delay;
+        self.network_delay = delay;
         self
     }
 
-    /// The delay one way to `zone`, where it differs from [`Builder::network_delay`].
+    /// Sets the one-way network delay to `zone`, where it differs from [`Builder::network_delay`].
     pub fn network_delay_to(mut self, zone: Zone, delay: Duration) -> Builder {
-        self.far.retain(|(known, _)| *known != zone);
-        self.far.push((zone, delay));
+        self.zone_delays.retain(|(known, _)| *known != zone);
+        self.zone_delays.push((zone, delay));
         self
     }
 
-    /// Seeds the random numbers and the subset; each entry takes its own, for its whole life.
+    /// Sets the seed of the random numbers and the subset. Each entry has its own, and keeps it.
     pub fn seed(mut self, seed: u64) -> Builder {
         self.seed = seed;
         self
     }
 
-    /// Everything else that may be set.
+    /// Sets everything else.
     pub fn setting(mut self, setting: Setting) -> Builder {
         self.setting = setting;
         self
     }
 
-    /// A choice without targets; [`Pick::set_targets`] brings them.
+    /// Builds a [`Pick`] without targets; [`Pick::set_targets`] adds them.
     pub fn build(self) -> Pick {
         Pick::new(self)
     }
--- a/crates/pick/src/pick.rs
+++ b/crates/pick/src/pick.rs
@@ -1,4 +1,4 @@
-//! The choice for one service at one entry.
+//! Chooses targets for the requests of one service at one entry.
 
 use std::time::Duration;
 
@@ -9,54 +9,58 @@
 
 use crate::dump::Line;
 use crate::record::Record;
-use crate::score::{Mean, Scale};
+use crate::score::{Estimator, Mean};
 use crate::shared::Basis;
 use crate::{Answer, Builder, Dump, Need, Preference, Setting, Target, subset};
 
-/// From this many failures in a row on, the share of a target is capped.
-const FAILING: u32 = 2;
-/// A failing target is tried once in this many of its fair turns, doubled with each failure.
-const FAILING_TURNS: u64 = 8;
-/// The doubling stops here.
+/// Consecutive failures from which on a target gets trial calls only.
+const FAILURE_THRESHOLD: u32 = 2;
+/// A failing target gets one trial call in this many times its fair interval, counted in choices.
+/// The number doubles with each further failure.
+const TRIAL_TURNS: u64 = 8;
+/// Limit on the doublings of [`TRIAL_TURNS`].
 const MAX_DOUBLINGS: u32 = 5;
-/// A failing target is tried at least this often, however few requests there are.
-const FAILING_PAUSE: Duration = Duration::from_secs(5);
-/// A target that has joined and had nothing to answer is tried again after this long.
-const NEWCOMER_AGAIN: Duration = Duration::from_millis(500);
-/// The part of its fair share at which a new target gets its first call.
-const FIRST_CALL: f64 = 0.25;
-/// A difference of this share of the service time halves the chance of the worse target.
+/// Longest time between trial calls to a failing target, for services with few requests.
+const TRIAL_INTERVAL: Duration = Duration::from_secs(5);
+/// Time after which a new target that gave no answer to its first call is called again.
+const NEW_TARGET_INTERVAL: Duration = Duration::from_millis(500);
+/// Share of its fair share at which a new target gets its first call.
+const FIRST_CALL_SHARE: f64 = 0.25;
+/// Scale of the random draw: a difference of this share of the service time halves the closeness
+/// of the worse target, whose weight is the cube of it.
 const SPREAD: f64 = 0.1;
-/// The spread is never below this, in microseconds.
+/// Lower bound of the spread, in microseconds.
 const MIN_SPREAD_US: f64 = 100.0;
 
-/// The choice for one service at one entry.
+/// Chooses targets for the requests of one service at one entry.
 #[derive(Debug)]
 pub struct Pick {
     zone: Zone,
-    way: Duration,
-    far: Vec<(Zone, Duration)>,
+    network_delay: Duration,
+    zone_delays: Vec<(Zone, Duration)>,
     seed: u64,
     setting: Setting,
     random: Pcg64Mcg,
+    /// Number of targets of the service, before the subset.
     known: usize,
-    /// By instance, ascending.
+    /// Sorted by instance.
     records: Vec<Record>,
     mean: Mean,
+    /// Number of choices made.
     choices: u64,
 }
 
-/// The chance of a target of which nothing is known.
+/// The sampling chance of a target that has neither answered nor sent a report.
 ///
-/// One that was there first is taken as warm. Of one that came later we can't say, and one call
-/// at a time brings the report that tells.
-fn unheard(record: &Record, fair: f64) -> f64 {
-    if record.settled {
+/// A target of the first set is assumed to be warm. One that was added later may be cold, so it
+/// gets one call at a time until a report arrives.
+fn unreported_chance(record: &Record, fair: f64) -> f64 {
+    if record.present_at_start {
         return 1.0;
     }
-    let idle = record.flying.is_empty();
+    let idle = record.in_flight.is_empty();
     if idle {
-        (fair * FIRST_CALL).min(1.0)
+        (fair * FIRST_CALL_SHARE).min(1.0)
     } else {
         0.0
     }
@@ -65,12 +69,12 @@
 /// A target that may be chosen, with its estimate.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
-    place: usize,
+    index: usize,
     estimate: f64,
 }
 
 impl Pick {
-    /// Begins a choice for an entry in `zone`.
+    /// Returns a builder for an entry in `zone`.
     pub fn builder(zone: Zone) -> Builder {
         Builder::new(zone)
     }
@@ -78,8 +82,8 @@
     pub(crate) fn new(builder: Builder) -> Pick {
         Pick {
             zone: builder.zone,
-            way: builder.way,
-            far: builder.far,
+            network_delay: builder.network_delay,
+            zone_delays: builder.zone_delays,
             seed: builder.seed,
             setting: builder.setting,
             random: Pcg64Mcg::seed_from_u64(builder.seed),
@@ -90,11 +94,11 @@
         }
     }
 
-    /// Sets the targets of the service; order does not matter.
+    /// Sets the targets of the service, in any order.
     ///
-    /// Statistics of targets that stay are kept. One that comes, or comes with a new incarnation,
-    /// gets its share as it gives answers. The first set of targets has nothing to compare with,
-    /// so its members are taken as warm until their reports say otherwise.
+    /// Statistics of targets that stay are kept. The share of a new target, or of a new
+    /// incarnation, grows with the answers it gives. The targets of the first set are assumed to be
+    /// warm until their reports say otherwise.
     pub fn set_targets(&mut self, _now: Instant, targets: &[Target]) {
         let first = self.records.is_empty();
         self.known = targets.len();
@@ -105,88 +109,90 @@
         self.records = records.collect();
     }
 
-    /// Chooses a target for a request, or none when no target may serve it.
+    /// Chooses a target for a request; returns `None` when no target may serve it.
     pub fn choose(&mut self, now: Instant, need: &Need<'_>) -> Option<Instance> {
-        let able = self.able(now, need);
-        let turn = self.newcomer(now, need, &able);
-        let place = match turn.or_else(|| self.trial(now, need, &able)) {
-            Some(place) => place,
-            None => self.best(now, need, able)?,
+        let eligible = self.eligible(now, need);
+        let new = self.new_target(now, need, &eligible);
+        let index = match new.or_else(|| self.trial(now, need, &eligible)) {
+            Some(index) => index,
+            None => self.choose_by_estimate(now, need, eligible)?,
         };
         self.choices += 1;
-        let record = &mut self.records[place];
-        record.tried = self.choices;
-        record.tried_at = Some(now);
+        let record = &mut self.records[index];
+        record.last_choice = self.choices;
+        record.last_chosen_at = Some(now);
         Some(record.target.instance.clone())
     }
 
-    /// Whether some target that may serve the request was not hot when last heard from.
+    /// Whether some target that may serve the request has neither reported that it is hot nor
+    /// refused a request of late.
     ///
-    /// A request that one gate has refused is worth a hand-over only then. When all are hot, a
-    /// hand-over is one more refusal, and more load just where there is too much.
+    /// A request that one gate has refused is worth a handover only then. When all targets are hot,
+    /// a handover brings one more refusal and adds load to an overloaded service.
     pub fn has_available_target(&self, now: Instant, need: &Need<'_>) -> bool {
-        let scale = self.scale(now);
-        let able = self.able(now, need);
-        able.into_iter()
-            .any(|place| !scale.is_hot(&self.records[place]))
+        let estimator = self.estimator(now);
+        let eligible = self.eligible(now, need);
+        eligible
+            .into_iter()
+            .any(|index| !estimator.is_hot(&self.records[index]))
     }
 
-    /// Whether some target that may serve the request has told that it is not slow, and was not hot
-    /// when last heard from.
+    /// Whether some target that may serve the request is known not to be slow, is not failing, and
+    /// has neither reported that it is hot nor refused a request of late.
     pub fn has_fast_target(&self, now: Instant, need: &Need<'_>) -> bool {
-        let scale = self.scale(now);
-        let able = self.able(now, need);
-        able.into_iter().any(|place| {
-            let record = &self.records[place];
-            let told = record.heard.map(|heard| heard.report);
-            let quick = told.is_some_and(|report| report.pace > 0 && !report.slow);
-            quick && record.failures < FAILING && !scale.is_hot(record)
+        let estimator = self.estimator(now);
+        let eligible = self.eligible(now, need);
+        eligible.into_iter().any(|index| {
+            let record = &self.records[index];
+            let reported = record.received.map(|received| received.report);
+            let fast = reported.is_some_and(|report| report.pace > 0 && !report.slow);
+            fast && record.failures < FAILURE_THRESHOLD && !estimator.is_hot(record)
         })
     }
 
-    /// What is known of `instance`.
+    /// Returns what is known of `instance`.
     pub(crate) fn basis(&self, now: Instant, instance: &Instance) -> Basis {
-        let place = self.place(instance).ok();
-        let heard = place.and_then(|place| self.records[place].heard);
+        let index = self.index_of(instance).ok();
+        let received = index.and_then(|index| self.records[index].received);
         Basis {
-            age: heard.map(|heard| now.saturating_duration_since(heard.at)),
-            slow: heard.is_some_and(|heard| heard.report.slow),
+            age: received.map(|received| now.saturating_duration_since(received.at)),
+            slow: received.is_some_and(|received| received.report.slow),
         }
     }
 
-    /// Counts a call to `instance` that begins now.
+    /// Records the start of a call to `instance`.
     pub fn begin(&mut self, now: Instant, instance: &Instance) {
-        if let Some(record) = self.find(instance) {
+        if let Some(record) = self.record_mut(instance) {
             record.begin(now);
         }
     }
 
-    /// Ends a call that [`Pick::begin`] counted.
+    /// Records the end of a call that [`Pick::begin`] recorded.
     pub fn end(&mut self, now: Instant, instance: &Instance, answer: &Answer) {
-        if let Some(record) = self.find(instance) {
+        if let Some(record) = self.record_mut(instance) {
             record.end(now, answer);
         }
         if let Some(report) = answer.report {
-            self.mean.hear(&report);
+            self.mean.add_report(&report);
         }
     }
 
-    /// Takes a report that came without an answer: of a probe, or a notice of a hot gate.
+    /// Records a report that arrived without an answer: from a probe, or in a notice of a hot gate.
     pub fn receive_report(&mut self, now: Instant, instance: &Instance, report: Report) {
-        if let Some(record) = self.find(instance) {
-            record.hear(now, report);
-            self.mean.hear(&report);
+        if let Some(record) = self.record_mut(instance) {
+            record.receive_report(now, report);
+            self.mean.add_report(&report);
         }
     }
 
-    /// Notes whether there is a link to `instance`.
+    /// Sets whether `instance` is unreachable for lack of a link.
     pub fn set_unreachable(&mut self, instance: &Instance, unreachable: bool) {
-        if let Some(record) = self.find(instance) {
-            record.cut = unreachable;
+        if let Some(record) = self.record_mut(instance) {
+            record.unreachable = unreachable;
         }
     }
 
-    /// The instances that are chosen among.
+    /// The instances in this entry's subset.
     pub fn instances(&self) -> Vec<Instance> {
         let records = self.records.iter();
         records
@@ -194,13 +200,13 @@
             .collect()
     }
 
-    /// The target that was not heard from for the longest time: the one worth a probe.
+    /// The target with the oldest report, or with none: the one to probe next.
     pub fn stalest(&self, now: Instant) -> Option<Instance> {
         let staying = self.records.iter().filter(|record| !record.target.leaving);
         let age = |record: &&Record| {
-            let heard = record.heard;
-            heard.map_or(Duration::MAX, |heard| {
-                now.saturating_duration_since(heard.at)
+            let received = record.received;
+            received.map_or(Duration::MAX, |received| {
+                now.saturating_duration_since(received.at)
             })
         };
         staying
@@ -208,7 +214,7 @@
             .map(|record| record.target.instance.clone())
     }
 
-    /// The state for the operator.
+    /// The state, for the operator's dump.
     pub fn dump(&self, now: Instant) -> Dump {
         Dump {
             zone: self.zone.clone(),
@@ -218,66 +224,66 @@
             targets: self
                 .records
                 .iter()
-                .map(|record| self.line(now, record))
+                .map(|record| self.dump_target(now, record))
                 .collect(),
         }
     }
 
-    fn line(&self, now: Instant, record: &Record) -> Line {
+    fn dump_target(&self, now: Instant, record: &Record) -> Line {
         let age = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
-        let estimate = self.scale(now).estimate(record, &Need::default());
+        let estimate = self.estimator(now).estimate(record, &Need::default());
         Line {
             target: record.target.clone(),
-            running: record.flying.len(),
+            running: record.in_flight.len(),
             answered: record.answered,
             failures: record.failures,
-            errors: record.errors,
-            report: record.heard.map(|heard| heard.report),
-            report_age_ms: record.heard.map(|heard| age(heard.at)),
+            errors: record.error_rate,
+            report: record.received.map(|received| received.report),
+            report_age_ms: record.received.map(|received| age(received.at)),
             estimate_us: estimate as u64,
         }
     }
 
-    fn record(&self, target: Target, settled: bool) -> Record {
-        if let Ok(place) = self.place(&target.instance) {
-            let old = &self.records[place];
+    fn record(&self, target: Target, present_at_start: bool) -> Record {
+        if let Ok(index) = self.index_of(&target.instance) {
+            let old = &self.records[index];
             if old.target.incarnation == target.incarnation && old.target.zone == target.zone {
                 let mut kept = old.clone();
                 kept.target = target;
                 return kept;
             }
-            // A new life is as reachable as the last one was.
-            let near = target.zone == self.zone;
-            let trip = self.way_to(&target.zone) * 2;
-            let mut record = Record::new(target, trip, near, settled);
-            record.cut = old.cut;
+            // The new incarnation is as reachable as the previous one was.
+            let same_zone = target.zone == self.zone;
+            let round_trip = self.delay_to(&target.zone) * 2;
+            let mut record = Record::new(target, round_trip, same_zone, present_at_start);
+            record.unreachable = old.unreachable;
             return record;
         }
-        let near = target.zone == self.zone;
-        let trip = self.way_to(&target.zone) * 2;
-        Record::new(target, trip, near, settled)
+        let same_zone = target.zone == self.zone;
+        let round_trip = self.delay_to(&target.zone) * 2;
+        Record::new(target, round_trip, same_zone, present_at_start)
     }
 
-    fn way_to(&self, zone: &Zone) -> Duration {
+    fn delay_to(&self, zone: &Zone) -> Duration {
         if *zone == self.zone {
             return Duration::ZERO;
         }
-        let said = self.far.iter().find(|(known, _)| known == zone);
-        said.map_or(self.way, |(_, way)| *way)
+        let configured = self.zone_delays.iter().find(|(known, _)| known == zone);
+        configured.map_or(self.network_delay, |(_, delay)| *delay)
     }
 
-    fn place(&self, instance: &Instance) -> Result<usize, usize> {
+    fn index_of(&self, instance: &Instance) -> Result<usize, usize> {
         self.records
             .binary_search_by(|record| record.target.instance.cmp(instance))
     }
 
-    fn find(&mut self, instance: &Instance) -> Option<&mut Record> {
-        let place = self.place(instance).ok()?;
-        self.records.get_mut(place)
+    fn record_mut(&mut self, instance: &Instance) -> Option<&mut Record> {
+        let index = self.index_of(instance).ok()?;
+        self.records.get_mut(index)
     }
 
-    fn scale(&self, now: Instant) -> Scale<'_> {
-        Scale {
+    fn estimator(&self, now: Instant) -> Estimator<'_> {
+        Estimator {
             now,
             mean: &self.mean,
             half_life: self.setting.half_life,
@@ -285,158 +291,164 @@
         }
     }
 
-    /// Places of the targets that may serve the request: those to which there is a way and which
-    /// take work.
+    /// Indices of the targets that may serve the request: those that have a link and take work.
     ///
-    /// Where there is none of them, a first try still asks those whose gates are closed, which say
-    /// no within a round trip. One without a link is never asked: nothing answers there, and the
-    /// request would hang until its deadline. With two of three targets full and the third without
-    /// power, each refused request ended so.
-    fn able(&self, now: Instant, need: &Need<'_>) -> Vec<usize> {
+    /// If there are none, a first attempt may go to a target whose gate is closed, which refuses
+    /// within a round trip. A target without a link is never eligible: nothing answers there, and
+    /// the request would hang until its deadline. That happens, for example, to each refused
+    /// request when two of three targets are full and the third has lost power.
+    fn eligible(&self, now: Instant, need: &Need<'_>) -> Vec<usize> {
         let may = |record: &Record| {
             !record.target.leaving
-                && (need.zone != Preference::Only || record.near)
+                && (need.zone != Preference::Only || record.same_zone)
                 && !need.exclude.contains(&record.target.instance)
         };
-        let places = self.records.iter().enumerate();
-        let able: Vec<usize> = places
+        let indices = self.records.iter().enumerate();
+        let eligible: Vec<usize> = indices
             .filter(|(_, record)| may(record))
-            .map(|(place, _)| place)
+            .map(|(index, _)| index)
             .collect();
-        let is_open = |place: &usize| self.records[*place].is_open(now);
-        let open: Vec<usize> = able.iter().copied().filter(is_open).collect();
+        let is_open = |index: &usize| self.records[*index].is_open(now);
+        let open: Vec<usize> = eligible.iter().copied().filter(is_open).collect();
         if !open.is_empty() || !need.exclude.is_empty() {
             return open;
         }
-        let has_link = |place: &usize| !self.records[*place].cut;
-        able.into_iter().filter(has_link).collect()
+        let has_link = |index: &usize| !self.records[*index].unreachable;
+        eligible.into_iter().filter(has_link).collect()
     }
 
-    /// A target that has joined and has given no answer here yet.
+    /// Returns a new target that has not answered this entry yet, with a chance of its fair share.
     ///
-    /// Where there is little to do, the estimates keep requests in their zone, and one that joins in
-    /// another zone would never be asked: nobody would know how quick it is when it is needed. One
-    /// request of each entry tells.
+    /// At low load the estimates keep requests in their zone, so a target that joins in another
+    /// zone would never be called, and its speed would be unknown when it is needed. One request of
+    /// each entry gives that.
     ///
-    /// Each choice asks it at its fair share, so that all entries together send it what one target is
-    /// meant to have. Asked by each at once, a new target among 99 had the first requests of some 40
-    /// entries in the moment in which it was slowest.
-    fn newcomer(&mut self, now: Instant, need: &Need<'_>, able: &[usize]) -> Option<usize> {
+    /// The fair share makes all entries together send it the load of one target. If each entry
+    /// called it at once, a new target among 99 would get the first requests of some 40 entries
+    /// while it is slowest.
+    fn new_target(&mut self, now: Instant, need: &Need<'_>, eligible: &[usize]) -> Option<usize> {
         if need.urgency == Urgency::Urgent || need.zone == Preference::Only {
             return None;
         }
-        let untried = |place: &usize| {
-            let record = &self.records[*place];
-            // Its daemon may be there before it is.
-            let rested = |at: Instant| now.saturating_duration_since(at) >= NEWCOMER_AGAIN;
-            let idle = record.flying.is_empty() && record.tried_at.is_none_or(rested);
-            idle && record.answered == 0 && record.failures == 0 && !record.settled
+        let untried = |index: &usize| {
+            let record = &self.records[*index];
+            // The daemon may be up before its target is.
+            let rested = |at: Instant| now.saturating_duration_since(at) >= NEW_TARGET_INTERVAL;
+            let idle = record.in_flight.is_empty() && record.last_chosen_at.is_none_or(rested);
+            idle && record.answered == 0 && record.failures == 0 && !record.present_at_start
         };
-        let untried: Vec<usize> = able.iter().copied().filter(untried).collect();
-        let share = 1.0 / able.len().max(1) as f64;
+        let untried: Vec<usize> = eligible.iter().copied().filter(untried).collect();
+        let share = 1.0 / eligible.len().max(1) as f64;
         let random = &mut self.random;
         untried.into_iter().find(|_| random.random_bool(share))
     }
 
-    /// The failing target whose turn it is to show that it is well again.
+    /// Returns a failing target that is due for a trial call.
     ///
-    /// It is chosen outright, since by its estimate it would never be. Urgent requests are not
-    /// spent on this while there are others.
-    fn trial(&self, now: Instant, need: &Need<'_>, able: &[usize]) -> Option<usize> {
+    /// It bypasses the estimate, by which it would never be chosen. Urgent requests are used for
+    /// this only when none has been made for [`TRIAL_INTERVAL`].
+    fn trial(&self, now: Instant, need: &Need<'_>, eligible: &[usize]) -> Option<usize> {
         let urgent = need.urgency == Urgency::Urgent;
-        let due = |place: &usize| {
-            let record = &self.records[*place];
-            record.failures > 0 && self.is_due(now, record, able.len(), urgent)
+        let due = |index: &usize| {
+            let record = &self.records[*index];
+            record.failures > 0 && self.is_due(now, record, eligible.len(), urgent)
         };
-        able.iter().copied().find(due)
+        eligible.iter().copied().find(due)
     }
 
-    fn best(&mut self, now: Instant, need: &Need<'_>, able: Vec<usize>) -> Option<usize> {
-        let mut open = self.open(&able);
+    fn choose_by_estimate(
+        &mut self,
+        now: Instant,
+        need: &Need<'_>,
+        eligible: Vec<usize>,
+    ) -> Option<usize> {
+        let mut open = self.uncapped(&eligible);
         if open.is_empty() {
-            // When all of them fail or are new, a capped one is better than none.
-            open = able;
+            // When all are failing or new, a capped target is better than none.
+            open = eligible;
         }
-        let looked_at = match need.urgency {
+        let considered = match need.urgency {
             Urgency::Urgent => open,
             Urgency::Routine | Urgency::Batch => self.sample(open),
         };
-        self.draw(now, need, &looked_at)
+        self.draw(now, need, &considered)
     }
 
-    /// Those of `able` whose share is not capped at this turn.
-    fn open(&mut self, able: &[usize]) -> Vec<usize> {
-        let count = able.len();
+    /// Those of `eligible` that are not failing and pass the draw for targets that are not warm.
+    fn uncapped(&mut self, eligible: &[usize]) -> Vec<usize> {
+        let count = eligible.len();
         let mut open = Vec::with_capacity(count);
-        for place in able {
-            let record = &self.records[*place];
+        for index in eligible {
+            let record = &self.records[*index];
             let chance = self.chance(record, count);
-            let sound = record.failures < FAILING;
-            if sound && (chance >= 1.0 || self.random.random_bool(chance)) {
-                open.push(*place);
+            let healthy = record.failures < FAILURE_THRESHOLD;
+            if healthy && (chance >= 1.0 || self.random.random_bool(chance)) {
+                open.push(*index);
             }
         }
         open
     }
 
-    /// Whether a failing target may be tried again.
+    /// Whether a failing target is due for a trial call.
     ///
-    /// A target that fails fast looks idle, and a choice by load would send it ever more. Its
-    /// share is capped by turns and not by time, so that the cap holds at any request rate.
+    /// A target that fails fast looks idle, and a choice by load would send it ever more requests.
+    /// Its share is capped by the number of choices rather than by time, so that the cap holds at
+    /// any request rate.
     fn is_due(&self, now: Instant, record: &Record, count: usize, urgent: bool) -> bool {
         let doublings = (record.failures - 1).min(MAX_DOUBLINGS);
-        let turns = (FAILING_TURNS << doublings) * count as u64;
-        let waited = self.choices - record.tried >= turns && !urgent;
-        let rested = |at: Instant| now.saturating_duration_since(at) >= FAILING_PAUSE;
-        record.flying.is_empty() && (waited || record.tried_at.is_none_or(rested))
+        let turns = (TRIAL_TURNS << doublings) * count as u64;
+        let waited = self.choices - record.last_choice >= turns && !urgent;
+        let rested = |at: Instant| now.saturating_duration_since(at) >= TRIAL_INTERVAL;
+        record.in_flight.is_empty() && (waited || record.last_chosen_at.is_none_or(rested))
     }
 
-    /// The chance that a target which is not warm yet is looked at.
+    /// The chance that a target is considered, which is below 1 for targets that are not warm.
     ///
-    /// A cold target is idle and slow at once. With a full look-in it would win each comparison,
-    /// so its chance is cut to a part of its fair share that grows with the answers it has given.
+    /// A cold target is idle but slow. If it were always considered, it would win each comparison,
+    /// so its chance is a part of its fair share that grows with the answers it has given.
     fn chance(&self, record: &Record, count: usize) -> f64 {
         let fair = self.setting.sample as f64 / count as f64;
-        if record.heard.is_none() && record.answered == 0 {
-            return unheard(record, fair);
+        if record.received.is_none() && record.answered == 0 {
+            return unreported_chance(record, fair);
         }
         let answers = f64::from(record.answers());
         let ramp = f64::from(self.setting.ramp.max(1));
-        if answers >= ramp || record.heard.is_none() && record.settled {
+        if answers >= ramp || record.received.is_none() && record.present_at_start {
             return 1.0;
         }
         let part = (answers + 1.0) / (ramp + 1.0);
         part * (fair / (1.0 - part)).min(1.0)
     }
 
-    /// A sample of the targets near and of those far.
+    /// Samples the targets in the entry's zone and those in other zones separately.
     fn sample(&mut self, open: Vec<usize>) -> Vec<usize> {
         let records = &self.records;
-        let (near, far): (Vec<_>, Vec<_>) =
-            open.into_iter().partition(|place| records[*place].near);
-        let mut sample = self.some_of(near);
-        sample.extend(self.some_of(far));
+        let (near, far): (Vec<_>, Vec<_>) = open
+            .into_iter()
+            .partition(|index| records[*index].same_zone);
+        let mut sample = self.sample_of(near);
+        sample.extend(self.sample_of(far));
         sample
     }
 
-    fn some_of(&mut self, mut places: Vec<usize>) -> Vec<usize> {
-        let count = self.setting.sample.min(places.len());
+    fn sample_of(&mut self, mut indices: Vec<usize>) -> Vec<usize> {
+        let count = self.setting.sample.min(indices.len());
         for i in 0..count {
-            let other = self.random.random_range(i..places.len());
-            places.swap(i, other);
+            let other = self.random.random_range(i..indices.len());
+            indices.swap(i, other);
         }
-        places.truncate(count);
-        places
+        indices.truncate(count);
+        indices
     }
 
-    /// Draws among the best few, the better the likelier.
-    fn draw(&mut self, now: Instant, need: &Need<'_>, places: &[usize]) -> Option<usize> {
-        let scale = self.scale(now);
-        let candidate = |place: &usize| Candidate {
-            place: *place,
-            estimate: scale.estimate(&self.records[*place], need),
+    /// Draws a target at random, weighted by how close its estimate is to the best one.
+    fn draw(&mut self, now: Instant, need: &Need<'_>, indices: &[usize]) -> Option<usize> {
+        let estimator = self.estimator(now);
+        let candidate = |index: &usize| Candidate {
+            index: *index,
+            estimate: estimator.estimate(&self.records[*index], need),
         };
-        let mut candidates: Vec<Candidate> = places.iter().map(candidate).collect();
+        let mut candidates: Vec<Candidate> = indices.iter().map(candidate).collect();
         candidates.sort_by(|a, b| a.estimate.total_cmp(&b.estimate));
         if need.urgency == Urgency::Urgent {
             candidates.truncate(self.setting.best.max(1));
@@ -444,16 +456,16 @@
         let best = candidates.first()?.estimate;
         let spread = (self.mean.service_us * SPREAD).max(MIN_SPREAD_US);
         let weight = |candidate: &Candidate| {
-            let near = 1.0 / (1.0 + (candidate.estimate - best) / spread);
-            near * near * near
+            let closeness = 1.0 / (1.0 + (candidate.estimate - best) / spread);
+            closeness * closeness * closeness
         };
         let total: f64 = candidates.iter().map(weight).sum();
         let mut left = self.random.random_range(0.0..total);
-        let last = candidates.last()?.place;
+        let last = candidates.last()?.index;
         for candidate in &candidates {
             left -= weight(candidate);
             if left < 0.0 {
-                return Some(candidate.place);
+                return Some(candidate.index);
             }
         }
         Some(last)
--- a/crates/pick/src/record.rs
+++ b/crates/pick/src/record.rs
@@ -8,22 +8,22 @@
 
 use crate::{Answer, Kind, Target};
 
-/// Weight of the newest answer in the smoothed share of failures, for a failure.
+/// Weight of a failure in the smoothed failure rate.
 const FAILURE_STEP: f64 = 0.3;
-/// The same for a success: failures are believed sooner than successes.
+/// Weight of a success; lower, so that the rate rises faster than it falls.
 const SUCCESS_STEP: f64 = 0.15;
-/// Weight of the newest own latency in its mean.
+/// Weight of the newest latency in the smoothed latency.
 const LATENCY_STEP: f64 = 0.1;
 
-/// A target that takes no work is asked again after this long, if it has not told of itself before.
-const CLOSED_FOR: Duration = Duration::from_millis(500);
+/// How long a target that takes no work is passed over, unless a newer report says otherwise.
+const CLOSED_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How far the begin of a call may be off when it is told by its latency.
-const CLOCK_SLACK: Duration = Duration::from_millis(1);
+/// Tolerance for matching a call by its start time, which is computed from its latency.
+const START_TOLERANCE: Duration = Duration::from_millis(1);
 
-/// A report and when it came.
+/// A report and the time of its arrival.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Heard {
+pub(crate) struct Received {
     pub(crate) at: Instant,
     pub(crate) report: Report,
 }
@@ -32,143 +32,154 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Record {
     pub(crate) target: Target,
-    /// The way there and back.
-    pub(crate) trip: Duration,
-    pub(crate) near: bool,
-    pub(crate) heard: Option<Heard>,
-    /// When the own calls under way began, oldest first.
-    pub(crate) flying: VecDeque<Instant>,
-    /// Own calls that the last report counted and that have ended since.
-    pub(crate) gone: u32,
+    /// Network round-trip time.
+    pub(crate) round_trip: Duration,
+    /// Whether it runs in the entry's zone.
+    pub(crate) same_zone: bool,
+    pub(crate) received: Option<Received>,
+    /// Start times of this entry's calls in flight, oldest first.
+    pub(crate) in_flight: VecDeque<Instant>,
+    /// Calls of this entry that the last report counted and that have ended since.
+    pub(crate) ended_since_report: u32,
     pub(crate) answered: u32,
-    pub(crate) errors: f64,
+    /// Smoothed failure rate, 0 to 1.
+    pub(crate) error_rate: f64,
+    /// Consecutive failures.
     pub(crate) failures: u32,
     pub(crate) failed_at: Option<Instant>,
     pub(crate) refused_at: Option<Instant>,
-    /// The number of the choice, and the time, at which it was last chosen.
-    pub(crate) tried: u64,
-    pub(crate) tried_at: Option<Instant>,
-    /// Mean of own latencies without the ways, in microseconds.
-    pub(crate) own_us: Option<f64>,
-    /// It refused because its target takes no work; it is asked again from then on.
-    pub(crate) closed: Option<Instant>,
-    /// There is no link to it.
-    pub(crate) cut: bool,
-    /// Whether it was there when the entry started, so that nothing says that it is cold.
-    pub(crate) settled: bool,
+    /// Value of the choice counter when it was last chosen.
+    pub(crate) last_choice: u64,
+    pub(crate) last_chosen_at: Option<Instant>,
+    /// Smoothed latency of this entry's calls without the network round trip, in microseconds.
+    pub(crate) latency_us: Option<f64>,
+    /// End of the time for which it is passed over because it takes no work.
+    pub(crate) closed_until: Option<Instant>,
+    /// Whether the entry has no link to it.
+    pub(crate) unreachable: bool,
+    /// Whether it was in the first set of targets; such a target is assumed to be warm.
+    pub(crate) present_at_start: bool,
 }
 
 impl Record {
-    pub(crate) fn new(target: Target, trip: Duration, near: bool, settled: bool) -> Record {
+    pub(crate) fn new(
+        target: Target,
+        round_trip: Duration,
+        same_zone: bool,
+        present_at_start: bool,
+    ) -> Record {
         Record {
             target,
-            trip,
-            near,
-            heard: None,
-            flying: VecDeque::new(),
-            gone: 0,
+            round_trip,
+            same_zone,
+            received: None,
+            in_flight: VecDeque::new(),
+            ended_since_report: 0,
             answered: 0,
-            errors: 0.0,
+            error_rate: 0.0,
             failures: 0,
             failed_at: None,
             refused_at: None,
-            tried: 0,
-            tried_at: None,
-            own_us: None,
-            closed: None,
-            cut: false,
-            settled,
+            last_choice: 0,
+            last_chosen_at: None,
+            latency_us: None,
+            closed_until: None,
+            unreachable: false,
+            present_at_start,
         }
     }
 
-    /// Whether there is a way to it, and it takes work as far as is known.
+    /// Whether there is a link to it and it is not known to take no work.
     pub(crate) fn is_open(&self, now: Instant) -> bool {
-        !self.cut && self.closed.is_none_or(|until| until <= now)
+        !self.unreachable && self.closed_until.is_none_or(|until| until <= now)
     }
 
     pub(crate) fn begin(&mut self, now: Instant) {
-        self.flying.push_back(now);
+        self.in_flight.push_back(now);
     }
 
     pub(crate) fn end(&mut self, now: Instant, answer: &Answer) {
-        if !self.land(now, answer.latency) {
+        if !self.remove_in_flight(now, answer.latency) {
             return;
         }
         match answer.kind {
             Kind::Ok => self.succeed(answer.latency),
             Kind::Error | Kind::Lost => self.fail(now),
-            // A refusal is no failure: the gate is full or leaving.
+            // A refusal is not a failure of the target: its gate is full or leaving.
             Kind::Refused => self.refused_at = Some(now),
-            Kind::Closed => self.closed = Some(now + CLOSED_FOR),
-            // A call that we gave up ourselves says nothing of the target.
+            Kind::Closed => self.closed_until = Some(now + CLOSED_RETRY_INTERVAL),
+            // The entry gave the call up itself, which says nothing about the target.
             Kind::Cancelled => {}
         }
         if let Some(report) = answer.report {
-            self.hear(now, report);
+            self.receive_report(now, report);
         }
     }
 
-    pub(crate) fn hear(&mut self, now: Instant, report: Report) {
-        if self.heard.is_some_and(|heard| heard.at > now) {
+    pub(crate) fn receive_report(&mut self, now: Instant, report: Report) {
+        if self.received.is_some_and(|received| received.at > now) {
             return;
         }
-        self.gone = 0;
-        self.closed = report.closed.then(|| now + CLOSED_FOR);
-        self.heard = Some(Heard { at: now, report });
+        self.ended_since_report = 0;
+        self.closed_until = report.closed.then(|| now + CLOSED_RETRY_INTERVAL);
+        self.received = Some(Received { at: now, report });
     }
 
-    /// Own calls under way that the last report can't have counted.
+    /// Number of calls in flight that the last report can't have counted.
     ///
-    /// The report left the gate one way ago, and a call reached it one way after its send.
-    pub(crate) fn unseen(&self) -> usize {
-        let Some(heard) = self.heard else {
-            return self.flying.len();
+    /// The report left the gate one network delay before it arrived here, and a call reaches the
+    /// gate one network delay after it was sent.
+    pub(crate) fn unreported(&self) -> usize {
+        let Some(received) = self.received else {
+            return self.in_flight.len();
         };
-        let seen = |began: &Instant| *began + self.trip < heard.at;
-        self.flying.len() - self.flying.partition_point(seen)
+        let reported = |began: &Instant| *began + self.round_trip < received.at;
+        self.in_flight.len() - self.in_flight.partition_point(reported)
     }
 
-    /// Answers that the target has given, by its own count or ours.
+    /// Answers that the target has given, by its own count or this entry's, whichever is larger.
     pub(crate) fn answers(&self) -> u32 {
-        let told = self.heard.map_or(0, |heard| heard.report.answered);
-        told.max(self.answered)
+        let reported = self.received.map_or(0, |received| received.report.answered);
+        reported.max(self.answered)
     }
 
-    /// Takes the call out of those under way; false when it is none of them.
+    /// Removes the call from those in flight; returns false when it is not among them.
     ///
-    /// A call of an earlier incarnation that ends now says nothing of this one. Without this, the
-    /// lost calls of a crash would count as failures of the target that has come back.
-    fn land(&mut self, now: Instant, latency: Duration) -> bool {
+    /// A call to an earlier incarnation is not among them. Otherwise the calls lost in a crash
+    /// would count as failures of the restarted target.
+    fn remove_in_flight(&mut self, now: Instant, latency: Duration) -> bool {
         let began = now.checked_sub(latency).unwrap_or(now);
-        let place = self.flying.partition_point(|at| *at < began);
-        let exact = self.flying.get(place);
-        let exact = exact.is_some_and(|at| *at <= began + CLOCK_SLACK);
-        let Some(place) = (if exact {
-            Some(place)
+        let index = self.in_flight.partition_point(|at| *at < began);
+        let exact = self.in_flight.get(index);
+        let exact = exact.is_some_and(|at| *at <= began + START_TOLERANCE);
+        let Some(index) = (if exact {
+            Some(index)
         } else {
-            place.checked_sub(1)
+            index.checked_sub(1)
         }) else {
             return false;
         };
-        self.flying.remove(place);
-        let seen = self.heard.is_some_and(|heard| began + self.trip < heard.at);
-        self.gone += u32::from(seen);
+        self.in_flight.remove(index);
+        let reported = self
+            .received
+            .is_some_and(|received| began + self.round_trip < received.at);
+        self.ended_since_report += u32::from(reported);
         true
     }
 
     fn succeed(&mut self, latency: Duration) {
         self.answered = self.answered.saturating_add(1);
         self.failures = 0;
-        self.errors -= self.errors * SUCCESS_STEP;
-        let us = micros(latency.saturating_sub(self.trip));
-        let old = self.own_us.unwrap_or(us);
-        self.own_us = Some(old + (us - old) * LATENCY_STEP);
+        self.error_rate -= self.error_rate * SUCCESS_STEP;
+        let us = micros(latency.saturating_sub(self.round_trip));
+        let old = self.latency_us.unwrap_or(us);
+        self.latency_us = Some(old + (us - old) * LATENCY_STEP);
     }
 
     fn fail(&mut self, now: Instant) {
         self.failed_at = Some(now);
         self.failures = self.failures.saturating_add(1);
-        self.errors += (1.0 - self.errors) * FAILURE_STEP;
+        self.error_rate += (1.0 - self.error_rate) * FAILURE_STEP;
     }
 }
 
