--- a/crates/pick/src/measure.rs
+++ b/crates/pick/src/measure.rs
@@ -1,8 +1,9 @@
-//! The budget for measuring: bytes and messages per second that no request rate raises.
+//! The budget for load reports: a limit in bytes and messages per second, whatever the request
+//! rate.
 //!
-//! A report that rides on an answer costs bytes, a probe or a notice costs a message besides.
-//! Both come out of the same bucket. Reports for urgent calls, and to entries that have not heard
-//! for long, go first: the last part of the bucket is kept for them.
+//! A report attached to an answer costs bytes; a probe or a notice also costs a message. The bytes
+//! of all of them come out of one bucket. Part of it is reserved for reports on urgent answers and
+//! to entries that have received none for a while.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,21 +18,21 @@
 pub const REPORT_BYTES: u64 = 16;
 /// Bytes of a probe and its answer, or of a notice, with all headers below.
 pub const PROBE_BYTES: u64 = 160;
-/// The bucket holds this long of the rate, so a burst is bounded too.
+/// The buckets hold what the rate gives in this time, which bounds bursts.
 const BURST: Duration = Duration::from_millis(500);
-/// This part of the bucket is kept for urgent calls and those not heard from.
-const KEPT: f64 = 0.5;
-/// An entry that has heard less than this ago gets no report on a routine answer.
-const RECENT: Duration = Duration::from_millis(5);
-/// An entry that has heard nothing for this long may draw on the kept part.
-const LONG: Duration = Duration::from_millis(250);
-/// Peers whose last report is remembered; beyond these the oldest is forgotten.
+/// Share of the bucket that is reserved for urgent and overdue reports.
+const RESERVED: f64 = 0.5;
+/// Time after a report in which an entry gets no other one on a routine answer.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(5);
+/// Time without a report after which one for this entry may use the reserved share.
+const PRIORITY_AFTER: Duration = Duration::from_millis(250);
+/// Most peers whose last report is remembered; beyond it the older half is evicted.
 const MAX_PEERS: usize = 4096;
 
-/// What may be spent on measuring.
+/// Limits on load reports, probes and notices.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Setting {
-    /// Bytes per second for riding reports, probes and notices together.
+    /// Bytes per second for attached reports, probes and notices together.
     pub bytes: Size,
     /// Probes and notices per second.
     pub messages: Rate,
@@ -46,53 +47,54 @@
     }
 }
 
-/// What has been spent since the start.
+/// Use of the budget since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Spent {
-    /// Bytes of riding reports, probes and notices.
+    /// Bytes of attached reports, probes and notices.
     pub bytes: u64,
     /// Probes and notices.
     pub messages: u64,
-    /// Reports that rode on answers.
+    /// Reports attached to answers.
     pub rides: u64,
-    /// Reports, probes and notices that the budget held back.
+    /// Reports, probes and notices that were held back by the budget.
     pub held: u64,
 }
 
-/// Holds the cost of measuring whatever the request rate.
+/// Limits the cost of load reports, whatever the request rate.
 #[derive(Debug)]
 pub struct Budget {
     bytes: Tokens,
     messages: Tokens,
-    full: f64,
-    told: BTreeMap<Instance, Told>,
+    capacity: f64,
+    peers: BTreeMap<Instance, LastReport>,
     spent: Spent,
 }
 
-/// What a peer was last told.
+/// When a peer was last sent a report, and whether it said that the gate is hot.
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct LastReport {
     at: Instant,
     hot: bool,
 }
 
 impl Budget {
-    /// An empty budget, so that no more than its rate is spent over its whole life.
+    /// A budget that starts empty, so that its use never exceeds the rate times its age.
     pub fn new(setting: Setting) -> Budget {
         let rate = setting.bytes.bytes() as f64;
-        let full = (rate * BURST.as_secs_f64()).max(PROBE_BYTES as f64);
+        let capacity = (rate * BURST.as_secs_f64()).max(PROBE_BYTES as f64);
         let messages = setting.messages.per_second();
-        let most = (messages * BURST.as_secs_f64()).max(1.0);
+        let message_capacity = (messages * BURST.as_secs_f64()).max(1.0);
         Budget {
-            bytes: Tokens::new(rate, full).at_level(0.0),
-            messages: Tokens::new(messages, most).at_level(0.0),
-            full,
-            told: BTreeMap::new(),
+            bytes: Tokens::new(rate, capacity).with_level(0.0),
+            messages: Tokens::new(messages, message_capacity).with_level(0.0),
+            capacity,
+            peers: BTreeMap::new(),
             spent: Spent::default(),
         }
     }
 
-    /// Whether `report` rides on an answer of `urgency` to `entry`; it is then counted as spent.
+    /// Whether `report` may be attached to an answer of `urgency` to `entry`; if so, spends its
+    /// bytes.
     pub fn try_attach(
         &mut self,
         now: Instant,
@@ -100,70 +102,81 @@
         urgency: Urgency,
         report: &Report,
     ) -> bool {
-        let told = self.told.get(entry).copied();
-        let age = told.map_or(Duration::MAX, |told| now.saturating_duration_since(told.at));
-        let turned = told.is_some_and(|told| told.hot != report.hot);
-        let first = urgency == Urgency::Urgent || turned || age >= LONG;
-        if !first && age < RECENT {
+        let last = self.peers.get(entry).copied();
+        let age = last.map_or(Duration::MAX, |last| now.saturating_duration_since(last.at));
+        let changed = last.is_some_and(|last| last.hot != report.hot);
+        let priority = urgency == Urgency::Urgent || changed || age >= PRIORITY_AFTER;
+        if !priority && age < MIN_REPORT_INTERVAL {
             return false;
         }
-        let keep = if first { 0.0 } else { self.full * KEPT };
-        if !self.bytes.holds(now, REPORT_BYTES as f64, keep) {
+        let reserve = if priority {
+            0.0
+        } else {
+            self.capacity * RESERVED
+        };
+        if !self.bytes.holds(now, REPORT_BYTES as f64, reserve) {
             self.spent.held += 1;
             return false;
         }
-        self.bytes.take(now, REPORT_BYTES as f64);
+        self.bytes.try_take(now, REPORT_BYTES as f64);
         self.spent.bytes += REPORT_BYTES;
         self.spent.rides += 1;
-        self.tell(now, entry, report.hot);
+        self.record_report(now, entry, report.hot);
         true
     }
 
-    /// Whether a probe or notice may go to `peer` now; it is then counted as spent.
+    /// Whether a probe or notice may be sent now; if so, spends its bytes and one message.
     ///
-    /// Only urgent calls, and peers not heard from, are worth one: pass `urgent` for these.
+    /// With `urgent` it may use the reserved share: for urgent calls, and for peers from which no
+    /// report has been received for a while.
     pub fn try_probe(&mut self, now: Instant, urgent: bool) -> bool {
         let cost = PROBE_BYTES as f64;
-        let keep = if urgent { 0.0 } else { self.full * KEPT };
-        let keep = keep.min(self.full - cost);
-        let may = self.bytes.holds(now, cost, keep) && self.messages.take(now, 1.0);
-        if !may {
+        let reserve = if urgent {
+            0.0
+        } else {
+            self.capacity * RESERVED
+        };
+        let reserve = reserve.min(self.capacity - cost);
+        let granted = self.bytes.holds(now, cost, reserve) && self.messages.try_take(now, 1.0);
+        if !granted {
             self.spent.held += 1;
             return false;
         }
-        self.bytes.take(now, cost);
+        self.bytes.try_take(now, cost);
         self.spent.bytes += PROBE_BYTES;
         self.spent.messages += 1;
         true
     }
 
-    /// Whether a notice that the gate turned hot or cold may go to `entry`; it is then counted.
+    /// Whether a notice that the gate has become hot, or no longer is, may be sent to `entry`; if
+    /// so, spends its bytes and one message.
     pub fn try_notify(&mut self, now: Instant, entry: &Instance, hot: bool) -> bool {
-        let known = self.told.get(entry).is_some_and(|told| told.hot == hot);
+        let known = self.peers.get(entry).is_some_and(|last| last.hot == hot);
         if known || !self.try_probe(now, true) {
             return false;
         }
-        self.tell(now, entry, hot);
+        self.record_report(now, entry, hot);
         true
     }
 
-    /// What has been spent since the start.
+    /// Use of the budget since the start.
     pub fn spent(&self) -> Spent {
         self.spent
     }
 
-    fn tell(&mut self, now: Instant, entry: &Instance, hot: bool) {
-        if self.told.len() >= MAX_PEERS && !self.told.contains_key(entry) {
-            self.forget();
+    fn record_report(&mut self, now: Instant, entry: &Instance, hot: bool) {
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(entry) {
+            self.evict();
         }
-        self.told.insert(entry.clone(), Told { at: now, hot });
+        self.peers
+            .insert(entry.clone(), LastReport { at: now, hot });
     }
 
-    /// Forgets the half of the peers that were told the longest ago.
-    fn forget(&mut self) {
-        let mut times: Vec<Instant> = self.told.values().map(|told| told.at).collect();
+    /// Evicts the half of the peers with the oldest reports.
+    fn evict(&mut self) {
+        let mut times: Vec<Instant> = self.peers.values().map(|last| last.at).collect();
         times.sort_unstable();
         let middle = times[times.len() / 2];
-        self.told.retain(|_, told| told.at > middle);
+        self.peers.retain(|_, last| last.at > middle);
     }
 }
--- a/crates/pick/src/retry.rs
+++ b/crates/pick/src/retry.rs
@@ -1,11 +1,11 @@
 //! The budget for retries and hedges, and the allowance that travels with nested calls.
 //!
-//! Two bounds hold together. The [`Budget`] of an entry lets retries be a share of its first
-//! tries. The [`Allowance`] of a request travels down with its nested calls and back with their
-//! answers, and is asked once for the whole tree of calls: where a call fails, the entry just
-//! above it asks its budget, and whether the budget says yes or no, the allowance is spent and
-//! the entries further up don't ask again. Without it nine levels with a tenth each would make
-//! 2.4 tries of one, and with one retry each, 512.
+//! Two limits apply together. The [`Budget`] of an entry limits retries to a share of its first
+//! attempts. The [`Allowance`] of a request is passed down with its nested calls and returned with
+//! their answers, and covers the whole tree of calls: where a call fails, the entry just above it
+//! asks its budget, and whether or not the budget grants the retry, the allowance is spent and the
+//! entries further up don't retry. Without it, nine levels with a budget of a tenth each would make
+//! 2.4 attempts of one, and with one retry each, 512.
 
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
@@ -14,32 +14,33 @@
 use crate::Kind;
 use crate::tokens::Tokens;
 
-/// What a retry of a request that may have run costs.
+/// Tokens for a retry of a request that may have run, or for a hedge.
 const FULL_COST: f64 = 1.0;
-/// What a hand-over costs: the refused request took no slot anywhere.
-const HAND_OVER_COST: f64 = 0.5;
-/// The part of the budget that copies may take.
+/// Tokens for a handover; lower, since the refused request took no slot anywhere.
+const HANDOVER_COST: f64 = 0.5;
+/// The share of the budget that hedges may use.
 ///
-/// A copy's nested calls are repeats too, of other services, whose budgets don't see them: with two calls
-/// a run a quarter of a fifth here is a tenth there. And what copies take is not there when targets
-/// fail.
-const HEDGE_PART: f64 = 0.25;
-/// Copies that are saved up at least, where the budget itself holds so many: a turn of one target
-/// meets several calls at once, and many entries have a small budget each.
-const HEDGES_SAVED: f64 = 2.0;
-/// Retries that are saved up unless it is set otherwise.
-const CAP: f64 = 20.0;
+/// The nested calls of a hedge are repeats at other services, whose budgets don't count them: with
+/// two nested calls per run, a quarter of a fifth here is a tenth there. Also, tokens used for
+/// hedges are not available when targets fail.
+const HEDGE_SHARE: f64 = 0.25;
+/// Lower bound on the cap of the hedge tokens, which still need tokens of the budget itself. A
+/// slowdown of one target affects several calls at once, and with many entries each has a small
+/// budget.
+const MIN_HEDGE_CAP: f64 = 2.0;
+/// Default of [`Setting::cap`].
+const DEFAULT_CAP: f64 = 20.0;
 /// Units of a fresh allowance.
-const FRESH: u8 = 2;
+const FRESH_UNITS: u8 = 2;
 
-/// How many retries an entry may make.
+/// Limits on the retries of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Setting {
-    /// Retries per first try.
+    /// Retries per first attempt.
     pub share: f64,
-    /// Retries per second that are granted whatever the number of first tries.
+    /// Retries per second that are granted regardless of the number of first attempts.
     pub floor: Rate,
-    /// Retries that are saved up at most, so that a burst after a quiet time is bounded.
+    /// Most retries that are saved up, which bounds a burst after a time of few retries.
     pub cap: f64,
 }
 
@@ -48,23 +49,23 @@
         Setting {
             share: 0.1,
             floor: Rate::of(1.0),
-            cap: CAP,
+            cap: DEFAULT_CAP,
         }
     }
 }
 
-/// Why another try is asked for.
+/// Why another attempt is requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// The last try failed or was lost after it may have run.
+    /// The last attempt failed, or was lost and may have run.
     Failed,
-    /// A gate refused it before the start, so another may be asked.
+    /// A gate refused the request before it ran, so it may be handed over to another.
     NotRun,
-    /// The first try is late, and a second copy is sent beside it.
+    /// The first attempt is late, and a second copy is sent in parallel.
     Hedge,
 }
 
-/// What the calls of one request, nested ones included, may still ask of the budgets.
+/// The retries that the calls of one request, nested ones included, may still request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Allowance(u8);
 
@@ -77,34 +78,34 @@
 impl Allowance {
     /// The allowance of a caller's own request.
     pub const fn fresh() -> Allowance {
-        Allowance(FRESH)
+        Allowance(FRESH_UNITS)
     }
 
-    /// Nothing may be asked any more.
+    /// An allowance without any units left.
     pub const fn spent() -> Allowance {
         Allowance(0)
     }
 
-    /// Whether nothing may be asked any more.
+    /// Whether no units are left.
     pub fn is_spent(self) -> bool {
         self.0 == 0
     }
 
-    /// The number that travels in the context of a call.
+    /// The number of units, as sent in the context of a call.
     pub fn units(self) -> u8 {
         self.0
     }
 
-    /// An allowance read from a context; more than a fresh one is cut down.
+    /// An allowance from the number of units in a context, clamped to that of a fresh one.
     pub fn from_units(units: u8) -> Allowance {
-        Allowance(units.min(FRESH))
+        Allowance(units.min(FRESH_UNITS))
     }
 
     /// The allowance after a call that carried it has ended.
     ///
-    /// `back` is what the answer says is left. An error that says nothing may come from a tree of
-    /// calls that has retried already, so it counts as spent. A refused call never began, and the
-    /// daemon of a lost one can ask for nothing more: these leave the allowance as it was.
+    /// `back` is the rest that the answer states. An error without it may come from a tree of calls
+    /// that has retried already, so the allowance counts as spent. A refused call never began, and
+    /// the daemon of a lost one can request nothing more, so these leave the allowance unchanged.
     pub fn after(self, kind: Kind, back: Option<Allowance>) -> Allowance {
         match (kind, back) {
             (_, Some(back)) => self.min(back),
@@ -114,16 +115,16 @@
     }
 }
 
-/// Counts of an entry's budget.
+/// Counters of an entry's budget.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Count {
-    /// First tries.
+    /// First attempts.
     pub first: u64,
     /// Retries and hedges granted.
     pub granted: u64,
-    /// Hand-overs granted.
+    /// Handovers granted.
     pub handed: u64,
-    /// Retries, hedges and hand-overs refused.
+    /// Retries, hedges and handovers refused.
     pub refused: u64,
 }
 
@@ -132,68 +133,69 @@
 pub struct Budget {
     share: f64,
     tokens: Tokens,
-    /// What copies may still take of them.
+    /// Limits the tokens that hedges use.
     hedges: Tokens,
     count: Count,
 }
 
 impl Budget {
-    /// A budget that starts with its floor only.
+    /// A budget that starts with one second's worth of its floor.
     pub fn new(setting: Setting) -> Budget {
         let floor = setting.floor.per_second();
         Budget {
             share: setting.share,
-            tokens: Tokens::new(floor, setting.cap).at_level(floor),
-            hedges: Tokens::new(floor * HEDGE_PART, hedges_cap(setting.cap)).at_level(floor),
+            tokens: Tokens::new(floor, setting.cap).with_level(floor),
+            hedges: Tokens::new(floor * HEDGE_SHARE, hedge_cap(setting.cap)).with_level(floor),
             count: Count::default(),
         }
     }
 
-    /// Counts a first try, of a caller's request or of a nested call.
+    /// Counts a first attempt, of a caller's request or of a nested call.
     pub fn record_first_attempt(&mut self, now: Instant) {
         self.tokens.level(now);
         self.tokens.add(self.share);
         self.hedges.level(now);
-        self.hedges.add(self.share * HEDGE_PART);
+        self.hedges.add(self.share * HEDGE_SHARE);
         self.count.first += 1;
     }
 
-    /// Asks for one more try.
+    /// Spends tokens for one more attempt, and reports whether it is granted.
     ///
-    /// Whatever the answer, the allowance pays. A refused retry spends it whole, so that the
-    /// entries above don't ask for the same request once more; a refused hedge leaves it, since
-    /// the first try is still under way and may yet need a retry.
+    /// A granted handover takes one unit of the allowance; a granted retry or hedge takes all of
+    /// it. A refused retry or handover takes all of it too, so that the entries above don't retry
+    /// the same request. A refused hedge leaves it, since the first attempt is still in flight and
+    /// may yet need a retry.
     pub fn try_spend(&mut self, now: Instant, allowance: &mut Allowance, cause: Cause) -> bool {
         let cost = match cause {
             Cause::Failed | Cause::Hedge => FULL_COST,
-            Cause::NotRun => HAND_OVER_COST,
+            Cause::NotRun => HANDOVER_COST,
         };
-        let copies = cause != Cause::Hedge || self.hedges.holds(now, cost, 0.0);
-        let granted = !allowance.is_spent() && copies && self.tokens.take(now, cost);
+        let hedge_allowed = cause != Cause::Hedge || self.hedges.holds(now, cost, 0.0);
+        let granted = !allowance.is_spent() && hedge_allowed && self.tokens.try_take(now, cost);
         if granted && cause == Cause::Hedge {
-            self.hedges.take(now, cost);
+            self.hedges.try_take(now, cost);
         }
         match (granted, cause) {
             (true, Cause::NotRun) => allowance.0 -= 1,
             (false, Cause::Hedge) => {}
             (true, Cause::Failed | Cause::Hedge) | (false, _) => *allowance = Allowance::spent(),
         }
-        self.note(granted, cause);
+        self.record(granted, cause);
         granted
     }
 
-    /// Sets how many retries are saved up at most, as the fleet that shares them grows or shrinks.
+    /// Sets the most retries that are saved up, as the fleet that shares them grows or shrinks.
     pub fn set_cap(&mut self, cap: f64) {
         self.tokens.set_cap(cap);
-        self.hedges.set_cap(hedges_cap(cap));
+        self.hedges.set_cap(hedge_cap(cap));
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn count(&self) -> Count {
         self.count
     }
 
-    fn note(&mut self, granted: bool, cause: Cause) {
+    fn record(&mut self, granted: bool, cause: Cause) {
         let count = match (granted, cause) {
             (true, Cause::NotRun) => &mut self.count.handed,
             (true, _) => &mut self.count.granted,
@@ -203,6 +205,6 @@
     }
 }
 
-fn hedges_cap(cap: f64) -> f64 {
-    (cap * HEDGE_PART).max(HEDGES_SAVED)
+fn hedge_cap(cap: f64) -> f64 {
+    (cap * HEDGE_SHARE).max(MIN_HEDGE_CAP)
 }
--- a/crates/pick/src/tokens.rs
+++ b/crates/pick/src/tokens.rs
@@ -1,60 +1,60 @@
-//! A token bucket on the caller's clock.
+//! A token bucket; the caller passes in the time.
 
 use tokio::time::Instant;
 
-/// A token bucket: filled at a rate up to a cap, and never taken below zero.
+/// A token bucket that fills at a constant rate up to a cap and never goes below zero.
 #[derive(Debug, Clone)]
 pub(crate) struct Tokens {
     rate: f64,
     cap: f64,
     level: f64,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
 impl Tokens {
-    /// A full bucket of `cap` that gains `rate` a second.
+    /// A full bucket of `cap` tokens that gains `rate` tokens per second.
     pub(crate) fn new(rate: f64, cap: f64) -> Tokens {
         Tokens {
             rate,
             cap,
             level: cap,
-            at: None,
+            updated_at: None,
         }
     }
 
-    /// The same bucket with `level` in it.
-    pub(crate) fn at_level(mut self, level: f64) -> Tokens {
+    /// Sets the initial level, at most the cap.
+    pub(crate) fn with_level(mut self, level: f64) -> Tokens {
         self.level = level.min(self.cap);
         self
     }
 
-    /// Sets another cap; what is above it is lost.
+    /// Changes the cap; tokens above it are discarded.
     pub(crate) fn set_cap(&mut self, cap: f64) {
         self.cap = cap;
         self.level = self.level.min(cap);
     }
 
-    /// Tokens now in the bucket.
+    /// Refills the bucket up to `now` and returns its level.
     pub(crate) fn level(&mut self, now: Instant) -> f64 {
-        let at = self.at.unwrap_or(now);
-        let passed = now.saturating_duration_since(at);
-        self.add(passed.as_secs_f64() * self.rate);
-        self.at = Some(at.max(now));
+        let at = self.updated_at.unwrap_or(now);
+        let elapsed = now.saturating_duration_since(at);
+        self.add(elapsed.as_secs_f64() * self.rate);
+        self.updated_at = Some(at.max(now));
         self.level
     }
 
-    /// Puts `amount` in; what is above the cap is lost.
+    /// Adds `amount` tokens; those above the cap are discarded.
     pub(crate) fn add(&mut self, amount: f64) {
         self.level = (self.level + amount).min(self.cap);
     }
 
-    /// Whether `amount` and `keep` besides are there; nothing is taken.
-    pub(crate) fn holds(&mut self, now: Instant, amount: f64, keep: f64) -> bool {
-        self.level(now) >= amount + keep
+    /// Whether the bucket holds `amount` plus `reserve`; takes nothing.
+    pub(crate) fn holds(&mut self, now: Instant, amount: f64, reserve: f64) -> bool {
+        self.level(now) >= amount + reserve
     }
 
-    /// Takes `amount` if it is there.
-    pub(crate) fn take(&mut self, now: Instant, amount: f64) -> bool {
+    /// Takes `amount` if the bucket holds it; returns whether it did.
+    pub(crate) fn try_take(&mut self, now: Instant, amount: f64) -> bool {
         let enough = self.holds(now, amount, 0.0);
         if enough {
             self.level -= amount;
