--- a/crates/pick/src/answer.rs
+++ b/crates/pick/src/answer.rs
@@ -1,4 +1,4 @@
-//! How a call to a target ended, as the choice needs to know it.
+//! The end of a call to a target.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 /// How a call to a target ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
-    /// From the send to the end of the answer's head, ways included.
+    /// Time from the send to the end of the answer's head, network delays included.
     pub latency: Duration,
-    /// What kind of end it was.
+    /// How the call ended.
     pub kind: Kind,
-    /// The gate's report, when one rode on the answer.
+    /// The gate's report, if one was attached to the answer.
     pub report: Option<Report>,
 }
 
-/// The kinds of end of a call.
+/// The ways in which a call can end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, derive_more::Display)]
 pub enum Kind {
-    /// The target answered, and the answer is no fault of the target.
+    /// The target answered without a fault of its own.
     #[display("ok")]
     Ok,
     /// The target answered with a fault of its own, such as 500.
     #[display("error")]
     Error,
-    /// The gate refused before the start; the request did not run.
+    /// The gate refused the request, which did not run.
     #[display("refused")]
     Refused,
-    /// The gate refused because its target takes no work now.
+    /// The gate refused the request because its target takes no work now.
     #[display("closed")]
     Closed,
-    /// No answer: the link broke or the time ran out. It may have run.
+    /// No answer: the link broke or the deadline passed. The request may have run.
     #[display("lost")]
     Lost,
-    /// The entry gave the call up itself, such as the loser of a hedge.
+    /// The entry cancelled the call, such as the slower copy of a hedged call.
     #[display("cancelled")]
     Cancelled,
 }
--- a/crates/pick/src/dump.rs
+++ b/crates/pick/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a choice, for the operator's dump.
+//! The state of a [`Pick`](crate::Pick) for the operator's dump.
 
 use serde::Serialize;
 use unit::{Report, Zone};
@@ -10,33 +10,33 @@
 pub struct Dump {
     /// The zone of the entry.
     pub zone: Zone,
-    /// Targets known, before the subset.
+    /// Number of targets of the service, before the subset.
     pub known: usize,
     /// Choices made since the start.
     pub choices: u64,
     /// Smoothed service time over all targets, in microseconds.
     pub service_us: u64,
-    /// The targets of the subset, by name.
+    /// The targets of the subset, sorted by name.
     pub targets: Vec<Line>,
 }
 
 /// The state of one target in a [`Dump`].
 #[derive(Debug, Clone, Serialize)]
 pub struct Line {
-    /// What the roster says.
+    /// The target as the roster describes it.
     pub target: Target,
-    /// Own calls under way.
+    /// Calls of this entry in flight.
     pub running: usize,
-    /// Own answers since the target came.
+    /// Answers to this entry since the target was added.
     pub answered: u32,
-    /// Failures in a row; above zero its share is capped.
+    /// Consecutive failures; from two on its share is capped.
     pub failures: u32,
-    /// Smoothed share of failures, 0 to 1.
+    /// Smoothed failure rate, 0 to 1.
     pub errors: f64,
     /// The last report.
     pub report: Option<Report>,
-    /// Its age in milliseconds.
+    /// Age of the last report in milliseconds.
     pub report_age_ms: Option<u64>,
-    /// The time that a routine request would take, as estimated, in microseconds.
+    /// Estimated time of a routine request, in microseconds.
     pub estimate_us: u64,
 }
--- a/crates/pick/src/hedge.rs
+++ b/crates/pick/src/hedge.rs
@@ -1,26 +1,26 @@
-//! When a second copy of a repeatable urgent call is worth sending.
+//! Decides when to send a second copy (a hedge) of an idempotent urgent call.
 //!
 //! The delay is a quantile of the recent latencies of the service, so that only the slowest few
-//! calls are doubled. A [`retry::Budget`](crate::retry::Budget) bounds them besides: when the
-//! whole service is slow, all calls are late and none is worth doubling.
+//! calls are hedged. A [`retry::Budget`](crate::retry::Budget) limits them too: when the whole
+//! service is slow, all calls are late and hedging doesn't help.
 
 use std::time::Duration;
 
-/// Latencies after which the quantile is known well enough.
-const ENOUGH: u32 = 50;
-/// Counts are halved when this many are held, so that old latencies fade.
+/// Samples required before the quantile is used.
+const MIN_SAMPLES: u32 = 50;
+/// Counts are halved when this many samples are held, so that old latencies lose weight.
 const WINDOW: u32 = 1_000;
-/// Buckets per doubling of the latency; a delay is exact to one part in eight.
-const PER_DOUBLING: u32 = 8;
-/// Buckets in all: up to 2^40 ns and more.
-const BUCKETS: usize = 41 * PER_DOUBLING as usize;
+/// Buckets per doubling of the latency; a delay is accurate to one eighth.
+const BUCKETS_PER_DOUBLING: u32 = 8;
+/// Number of buckets; they cover more than 2^40 ns.
+const BUCKETS: usize = 41 * BUCKETS_PER_DOUBLING as usize;
 
-/// What may be set about hedging.
+/// Hedging settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Setting {
-    /// A call later than this share of the recent ones is hedged, 0 to 1.
+    /// Quantile of the recent latencies after which a call is hedged, 0 to 1.
     pub quantile: f64,
-    /// No call is hedged sooner than this.
+    /// Shortest delay before a hedge.
     pub floor: Duration,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The delay after which a call is hedged, from recent latencies of one service.
+/// Computes the hedging delay from the recent latencies of one service.
 #[derive(Debug, Clone)]
 pub struct Delay {
     setting: Setting,
@@ -42,7 +42,7 @@
 }
 
 impl Delay {
-    /// A delay that knows no latencies yet.
+    /// A delay without any samples.
     pub fn new(setting: Setting) -> Delay {
         Delay {
             setting,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes in the latency of a call that was answered.
+    /// Adds the latency of an answered call.
     pub fn observe(&mut self, latency: Duration) {
         if self.total >= WINDOW {
             self.counts.iter_mut().for_each(|count| *count /= 2);
@@ -61,40 +61,40 @@
         self.total += 1;
     }
 
-    /// How long to wait for the first copy, or `None` while too few latencies are known.
+    /// How long to wait for the first attempt, or `None` while there are too few samples.
     pub fn after(&self) -> Option<Duration> {
-        if self.total < ENOUGH {
+        if self.total < MIN_SAMPLES {
             return None;
         }
         let wanted = f64::from(self.total) * self.setting.quantile;
         let mut seen = 0;
-        let place = self.counts.iter().position(|count| {
+        let index = self.counts.iter().position(|count| {
             seen += count;
             f64::from(seen) >= wanted
         });
-        Some(upper(place?).max(self.setting.floor))
+        Some(upper_bound(index?).max(self.setting.floor))
     }
 }
 
-/// The bucket of a latency: eight to each doubling.
+/// The bucket of a latency.
 fn bucket(latency: Duration) -> usize {
     let nanos = u64::try_from(latency.as_nanos()).unwrap_or(u64::MAX);
-    if nanos < u64::from(PER_DOUBLING) {
+    if nanos < u64::from(BUCKETS_PER_DOUBLING) {
         return nanos as usize;
     }
-    let doubling = nanos.ilog2() - PER_DOUBLING.ilog2();
-    let part = (nanos >> doubling) as usize;
-    let place = doubling as usize * PER_DOUBLING as usize + part;
-    place.min(BUCKETS - 1)
+    let doubling = nanos.ilog2() - BUCKETS_PER_DOUBLING.ilog2();
+    let offset = (nanos >> doubling) as usize;
+    let index = doubling as usize * BUCKETS_PER_DOUBLING as usize + offset;
+    index.min(BUCKETS - 1)
 }
 
 /// The upper bound of a bucket.
-fn upper(place: usize) -> Duration {
-    let per = PER_DOUBLING as usize;
-    if place < per {
-        return Duration::from_nanos(place as u64);
+fn upper_bound(index: usize) -> Duration {
+    let per = BUCKETS_PER_DOUBLING as usize;
+    if index < per {
+        return Duration::from_nanos(index as u64);
     }
-    let doubling = place / per - 1;
-    let part = (place - doubling * per) as u64;
-    Duration::from_nanos((part + 1) << doubling)
+    let doubling = index / per - 1;
+    let offset = (index - doubling * per) as u64;
+    Duration::from_nanos((offset + 1) << doubling)
 }
--- a/crates/pick/src/lib.rs
+++ b/crates/pick/src/lib.rs
@@ -1,8 +1,8 @@
-//! The choice of a target at the entry, and the budgets for measuring, retries and hedges.
+//! Chooses targets at the entry, and keeps the budgets for load reports, retries and hedges.
 //!
-//! All of it is decision code: no I/O, the time is passed in, random numbers are seeded. One
-//! [`Pick`] serves one service at one entry; [`Shared`] puts it under a lock of its own and gives
-//! guards, so that a call that is dropped is counted as cancelled.
+//! The code does no I/O; the time is passed in, and random numbers are seeded. One [`Pick`] serves
+//! one service at one entry. [`Shared`] puts it under a lock and returns guards, so that a dropped
+//! call counts as cancelled.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/pick/src/limit.rs
+++ b/crates/pick/src/limit.rs
@@ -1,4 +1,4 @@
-//! How many requests of one caller an entry holds at once.
+//! Limits the concurrent requests of each caller at one entry.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,26 +9,26 @@
 use unit::Caller;
 
 quick_error! {
-    /// Why a request is not let in. It has not run.
+    /// Why a request is not admitted. It has not run.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// The caller already has as many requests here as it may.
+        /// The caller has reached its limit of concurrent requests at this entry.
         Caller(caller: Caller, limit: u32) {
             display("admit: caller {caller} already has {limit} requests at this entry")
         }
-        /// The entry already holds requests of as many callers as it may.
+        /// The entry has reached its limit of callers with requests in flight.
         Table(caller: Caller, limit: usize) {
             display("admit: caller {caller} is one more than the {limit} callers of this entry")
         }
     }
 }
 
-/// How many requests an entry holds at once.
+/// Limits on concurrent requests at an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Setting {
-    /// Requests of one caller.
+    /// Concurrent requests of one caller.
     pub each: u32,
-    /// Callers with requests.
+    /// Callers with requests in flight.
     pub callers: usize,
 }
 
@@ -43,16 +43,16 @@
 
 /// Counts the requests of each caller at one entry. Clones share the counts.
 ///
-/// Only callers with requests under way are held, so the table is as large as the work.
+/// Only callers with requests in flight have an entry in the table, which bounds its size.
 #[derive(Debug, Clone)]
 pub struct Table {
     setting: Setting,
     running: Arc<Mutex<BTreeMap<Caller, u32>>>,
 }
 
-/// A request that was let in; its place is free again when this is dropped.
+/// An admitted request; dropping the guard releases its slot.
 #[derive(Debug)]
-#[must_use = "a dropped guard gives its place back"]
+#[must_use = "a dropped guard releases its slot"]
 pub struct Guard {
     caller: Caller,
     running: Arc<Mutex<BTreeMap<Caller, u32>>>,
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Lets a request of `caller` in.
+    /// Admits a request of `caller`.
     ///
     /// # Errors
     ///
-    /// [`Error::Caller`] when the caller has its limit already, [`Error::Table`] when too many
-    /// callers have requests here.
+    /// [`Error::Caller`] when the caller has reached its limit, [`Error::Table`] when too many
+    /// other callers have requests in flight.
     pub fn admit(&self, caller: &Caller) -> Result<Guard, Error> {
         let mut running = self.running.lock();
         let count = running.get(caller).copied().unwrap_or(0);
@@ -89,12 +89,12 @@
         })
     }
 
-    /// Requests of `caller` under way.
+    /// Requests of `caller` in flight.
     pub fn running(&self, caller: &Caller) -> u32 {
         self.running.lock().get(caller).copied().unwrap_or(0)
     }
 
-    /// Callers with requests under way.
+    /// Callers with requests in flight.
     pub fn callers(&self) -> usize {
         self.running.lock().len()
     }
--- a/crates/pick/src/need.rs
+++ b/crates/pick/src/need.rs
@@ -1,32 +1,32 @@
-//! What a request asks of the choice.
+//! The requirements of a request.
 
 use unit::{Instance, Urgency};
 
-/// What a request asks of the choice.
+/// The requirements of a request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Need<'a> {
-    /// Urgent requests look at all targets, others at a sample.
+    /// All targets are compared for an urgent request, and a sample for others.
     pub urgency: Urgency,
     /// How much the zone of the target matters.
     pub zone: Preference,
-    /// Instances that this request has already tried, or that must not run it.
+    /// Instances that already had an attempt of this request, or that must not run it.
     pub exclude: &'a [Instance],
 }
 
 /// How much the zone of the target matters.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub enum Preference {
-    /// The way to another zone is counted as waiting time.
+    /// The round trip to another zone, and its cost, are added to the estimate.
     #[default]
     Near,
-    /// All zones are alike.
+    /// The zone is ignored.
     Any,
     /// Only targets in the entry's zone.
     Only,
 }
 
 impl Need<'_> {
-    /// A request of `urgency` without further wishes.
+    /// A request of `urgency` without further requirements.
     pub fn of(urgency: Urgency) -> Need<'static> {
         Need {
             urgency,
--- a/crates/pick/src/setting.rs
+++ b/crates/pick/src/setting.rs
@@ -1,24 +1,26 @@
-//! What may be set about the choice.
+//! Settings of the choice of targets.
 
 use std::time::Duration;
 
-/// What may be set about the choice; [`Setting::default`] suits both users' sizes of today.
+/// Settings of the choice of targets; [`Setting::default`] suits the deployments of both users.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Setting {
-    /// Targets that a routine request looks at, in the entry's zone and in the others each.
+    /// Targets that are compared for a request that is not urgent: this many in the entry's zone,
+    /// and as many in the other zones.
     pub sample: usize,
-    /// An urgent request draws among this many of the best.
+    /// Number of best targets among which an urgent request is drawn.
     pub best: usize,
-    /// Answers after which a new target has its full share.
+    /// Answers after which a new target gets its full share.
     pub ramp: u32,
-    /// A report of this age counts half; the rest is the mean over the targets.
+    /// Age at which a report has half its weight; the mean over the targets has the rest.
     pub half_life: Duration,
-    /// More targets than this are cut down to a subset.
+    /// Number of targets above which an entry uses a subset of them.
     pub subset_threshold: usize,
-    /// Targets in the subset outside the entry's zone.
+    /// Number of targets outside the entry's zone in the subset.
     pub subset_remote: usize,
-    /// What a call to another zone costs beside the way there, in mean service times: bytes between
-    /// zones are paid for. A request stays in its zone while the wait there is longer by less.
+    /// Cost of a call to another zone beside the network delay, in mean service times, since
+    /// traffic between zones is billed. A request stays in its zone while the extra wait there is
+    /// shorter.
     pub cross_zone_cost: f64,
 }
 
--- a/crates/pick/src/shared.rs
+++ b/crates/pick/src/shared.rs
@@ -1,4 +1,4 @@
-//! A [`Pick`] under its own lock, with guards for calls under way.
+//! A [`Pick`] under its own lock, with guards for calls in flight.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use crate::{Answer, Dump, Kind, Need, Pick, Target};
 
-/// A [`Pick`] that threads share. Clones share the same state.
+/// A [`Pick`] that is shared between threads. Clones share the same state.
 ///
 /// Each service has its own lock, so that a busy service does not slow down the others.
 #[derive(Debug, Clone)]
@@ -17,7 +17,7 @@
     pick: Arc<Mutex<Pick>>,
 }
 
-/// A call under way. When dropped without [`Guard::end`] the call counts as cancelled.
+/// A call in flight. Dropped without [`Guard::end`], it counts as cancelled.
 #[derive(Debug)]
 #[must_use = "a dropped guard counts as a cancelled call"]
 pub struct Guard {
@@ -25,15 +25,15 @@
     instance: Instance,
     began: Instant,
     basis: Basis,
-    open: bool,
+    active: bool,
 }
 
 /// What was known of a target when it was chosen.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Basis {
-    /// How old its last report was; `None` where it had given none.
+    /// Age of its last report; `None` if there was none.
     pub age: Option<Duration>,
-    /// By that report work took much longer than usual there.
+    /// Whether that report said that work takes much longer than usual there.
     pub slow: bool,
 }
 
@@ -71,14 +71,15 @@
         self.pick.lock().receive_report(now, instance, report);
     }
 
-    /// Chooses and begins under one lock, so that no two threads see the same idle target.
+    /// Chooses a target and begins the call under one lock, so that two threads don't both choose
+    /// the same idle target.
     pub fn acquire(&self, now: Instant, need: &Need<'_>) -> Option<Guard> {
         let mut pick = self.pick.lock();
         let instance = pick.choose(now, need)?;
         Some(self.guard(&mut pick, now, &instance))
     }
 
-    /// Begins a call to an instance that was chosen in another way.
+    /// Begins a call to an instance that was chosen by other means.
     pub fn begin(&self, now: Instant, instance: &Instance) -> Guard {
         self.guard(&mut self.pick.lock(), now, instance)
     }
@@ -111,7 +112,7 @@
             instance: instance.clone(),
             began,
             basis,
-            open: true,
+            active: true,
         }
     }
 }
@@ -132,18 +133,18 @@
         self.began
     }
 
-    /// Ends the call with what came back. The answer's latency is taken from the guard's clock.
+    /// Ends the call as of now. Its latency is the time since the call began.
     pub fn end(self, kind: Kind, report: Option<Report>) {
         self.end_at(Instant::now(), kind, report);
     }
 
-    /// Ends the call as of `now`, for callers that read the clock themselves.
+    /// Ends the call as of `now`, for callers that keep their own clock.
     pub fn end_at(mut self, now: Instant, kind: Kind, report: Option<Report>) {
         self.close(now, kind, report);
     }
 
     fn close(&mut self, now: Instant, kind: Kind, report: Option<Report>) {
-        self.open = false;
+        self.active = false;
         let answer = Answer {
             latency: now.saturating_duration_since(self.began),
             kind,
@@ -155,9 +156,9 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        if self.open {
-            // A call that is dropped would else count as running for ever, and the target would
-            // look busier with each cancelled request until it got none.
+        if self.active {
+            // Otherwise a dropped call would count as running for ever, and the target would look
+            // busier with each cancelled request until it got no more.
             self.close(Instant::now(), Kind::Cancelled, None);
         }
     }
--- a/crates/pick/src/subset.rs
+++ b/crates/pick/src/subset.rs
@@ -1,9 +1,9 @@
-//! Which targets of a large service an entry uses.
+//! Selects the targets of a large service that an entry uses.
 //!
 //! Few targets per entry mean few links and fresher reports. The subset is drawn by rendezvous
 //! hashing of the entry's seed with the instance's name: each entry ranks the targets in its own
-//! order and takes the first of them. When a target goes, only the entries that used it take one
-//! other; when one comes, only those whose order has it in front do.
+//! order and takes the first ones. When a target is removed, only the entries that used it replace
+//! it; when one is added, only the entries that rank it high enough take it.
 
 use unit::Zone;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -12,8 +12,8 @@
 
 /// The targets that the entry with `seed` in `zone` uses.
 ///
-/// Up to [`Setting::subset_threshold`] targets are all used. Of more, all in the own zone are, and the
-/// first [`Setting::subset_remote`] of the others; one that leaves counts for nothing.
+/// Up to [`Setting::subset_threshold`] targets, all are used. Above it, these are all targets in
+/// `zone` and the first [`Setting::subset_remote`] of the others that are not leaving.
 pub fn choose(seed: u64, zone: &Zone, targets: &[Target], setting: &Setting) -> Vec<Target> {
     if targets.len() <= setting.subset_threshold {
         return targets.to_vec();
--- a/crates/pick/src/target.rs
+++ b/crates/pick/src/target.rs
@@ -1,17 +1,17 @@
-//! What the roster tells of a target.
+//! A target as the roster describes it.
 
 use serde::Serialize;
 use unit::{Incarnation, Instance, Zone};
 
-/// What the roster tells of a target.
+/// A target as the roster describes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Target {
-    /// Which instance it is.
+    /// Its instance.
     pub instance: Instance,
-    /// Where it runs.
+    /// The zone in which it runs.
     pub zone: Zone,
-    /// Which of its lives this is; statistics of an earlier one are dropped.
+    /// Its incarnation; statistics of an earlier one are dropped.
     pub incarnation: Incarnation,
-    /// It has announced that it leaves: it gets no new requests.
+    /// Whether it has announced that it leaves; then it gets no new requests.
     pub leaving: bool,
 }
