--- a/crates/pick/tests/decisions/budget.rs
+++ b/crates/pick/tests/decisions/budget.rs
@@ -1,4 +1,4 @@
-//! What bounds retries, hedges, measuring and the requests of one caller.
+//! Limits on retries, hedges, load reports and the requests of one caller.
 
 use std::time::Duration;
 
@@ -11,10 +11,12 @@
 
 const LEVELS: usize = 9;
 
-/// Calls that go nine levels deep, where the lowest always fails.
+/// A chain of nested calls, nine levels deep, whose last target always fails.
 struct Chain {
     budgets: Vec<Budget>,
+    /// Whether the allowance is passed down and back, instead of a fresh one at each level.
     carried: bool,
+    /// Number of calls that reach the last target.
     bottom: u64,
 }
 
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Calls the target at `level`; returns what is left of the allowance behind its error.
+    /// Calls the target at `level`; returns the allowance that is left after its error.
     fn call(&mut self, now: Instant, level: usize, allowance: Allowance) -> Allowance {
         if level == LEVELS {
             self.bottom += 1;
@@ -62,9 +64,9 @@
 
 #[test]
 fn retries_of_nine_levels_do_not_multiply() {
-    // A brown-out does not end. The target at the ninth level fails, each of the nine entries
-    // above it retries within a budget of its own, and the budgets multiply: the bottom gets
-    // more than twice the load that it can't bear already.
+    // A retry storm keeps an overload alive. The target at the ninth level fails, and each of the
+    // nine entries above it retries within its own budget. Without the shared allowance the retries
+    // multiply, and the failing target gets more than twice the load.
     let carried = storm(true);
     let own = storm(false);
     println!("retry: tries at the bottom per call: {carried:.3} carried, {own:.3} each its own");
@@ -73,8 +75,9 @@
 }
 
 #[test]
-fn an_error_that_says_nothing_is_not_retried_above() {
-    // The same storm through a target whose answer lost the word of what its calls have spent.
+fn an_error_without_an_allowance_is_not_retried_above() {
+    // The same retry storm, by way of a target whose answer doesn't state the allowance that is
+    // left.
     let fresh = Allowance::fresh();
     assert!(fresh.after(Kind::Error, None).is_spent());
     assert_eq!(fresh.after(Kind::Lost, None), fresh);
@@ -83,8 +86,9 @@
 }
 
 #[test]
-fn hand_overs_are_bounded_too() {
-    // At overload each request visits gate after gate, and the gates do nothing but refuse.
+fn handovers_are_bounded() {
+    // In an overload each request is handed from gate to gate, and the gates spend their time on
+    // refusals.
     let now = Instant::now();
     let mut budget = Budget::new(retry::Setting::default());
     let mut granted = 0;
@@ -95,14 +99,14 @@
             granted += 1;
         }
     }
-    assert!(granted <= 2_010, "0.2 for each first try: {granted}");
+    assert!(granted <= 2_010, "0.2 per first attempt: {granted}");
     assert!(granted >= 1_900, "{granted}");
 }
 
 #[test]
-fn hedges_stop_when_all_are_slow() {
-    // All targets turn slow at once. Every call is late, and doubling them all would finish the
-    // service off.
+fn hedges_are_bounded_when_all_targets_are_slow() {
+    // All targets become slow at once. Every call is late, and hedging them all would double the
+    // load of an overloaded service.
     let mut now = Instant::now();
     let mut budget = Budget::new(retry::Setting::default());
     let mut delay = hedge::Delay::new(hedge::Setting::default());
@@ -128,30 +132,30 @@
 }
 
 #[test]
-fn copies_take_a_quarter_of_the_budget() {
-    // All targets flicker between quick and slow, and each call wants a copy. Their nested calls are
-    // repeats at other services, and the retries of calls that fail must still be paid.
+fn hedges_take_a_quarter_of_the_budget() {
+    // All targets alternate between fast and slow, and each call requests a hedge. The nested calls
+    // of hedges are repeats at other services, and tokens must be left for retries of failed calls.
     let start = Instant::now();
     let mut budget = Budget::new(retry::Setting::default());
-    let (mut copies, mut retries) = (0, 0);
+    let (mut hedges, mut retries) = (0, 0);
     let calls = 4_000;
     for i in 0..calls {
         let now = start + Duration::from_millis(i);
         budget.record_first_attempt(now);
         let ask =
             |budget: &mut Budget, cause| budget.try_spend(now, &mut Allowance::fresh(), cause);
-        copies += u64::from(ask(&mut budget, Cause::Hedge));
+        hedges += u64::from(ask(&mut budget, Cause::Hedge));
         retries += u64::from(ask(&mut budget, Cause::Failed));
     }
-    let [copies, retries] = [copies, retries].map(|count| count as f64 / calls as f64);
-    assert!((0.02..0.03).contains(&copies), "{copies}");
+    let [hedges, retries] = [hedges, retries].map(|count| count as f64 / calls as f64);
+    assert!((0.02..0.03).contains(&hedges), "{hedges}");
     assert!(retries > 0.07, "{retries}");
 }
 
 #[test]
-fn measuring_keeps_its_budget_in_a_burst() {
-    // A member's batch brings ten times the requests, each answer with a report on it, and the
-    // links that are paid by the byte carry ten times the measuring.
+fn load_reports_keep_their_budget_in_a_burst() {
+    // A member's batch brings ten times the requests. With a report on each answer, the links that
+    // are billed by the byte would carry ten times the reports.
     let start = Instant::now();
     let setting = measure::Setting::default();
     let mut budget = measure::Budget::new(setting);
@@ -163,8 +167,8 @@
         } else {
             Urgency::Routine
         };
-        let rode = budget.try_attach(now, &name(i as usize % 37), urgency, &report(1, 0));
-        urgent += u64::from(rode && urgency == Urgency::Urgent);
+        let attached = budget.try_attach(now, &name(i as usize % 37), urgency, &report(1, 0));
+        urgent += u64::from(attached && urgency == Urgency::Urgent);
         budget.try_probe(now, i % 100 == 0);
     }
     let spent = budget.spent();
@@ -200,8 +204,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_dropped_guard_counts_as_cancelled() {
-    // A target gets less and less although it idles: its callers hang up, and each call that was
-    // dropped still counts as running.
+    // An idle target gets ever fewer calls: its callers cancel, and each dropped call would still
+    // count as running.
     let pick: Pick = crate::world::pick(Instant::now(), 1, 1);
     let shared = Shared::from(pick);
     let guard = shared
@@ -219,7 +223,7 @@
 }
 
 proptest! {
-    /// Retries stay within share and floor for any order of first tries and causes.
+    /// Retries stay within share and floor for any order of first attempts and causes.
     #[test]
     fn the_budget_holds(steps in prop::collection::vec((0_u8..4, 0_u64..50), 1..300)) {
         let start = Instant::now();
--- a/crates/pick/tests/decisions/choice.rs
+++ b/crates/pick/tests/decisions/choice.rs
@@ -1,4 +1,4 @@
-//! Failures that the choice of a target must not follow.
+//! Failures that the choice of a target must avoid.
 
 use std::time::Duration;
 
@@ -8,17 +8,16 @@
 use tokio::time::Instant;
 use unit::{Incarnation, Report, Urgency};
 
-const TRIES: u32 = 4_000;
+const ROUNDS: u32 = 4_000;
 
 fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
 #[test]
-fn a_target_that_fails_fast_does_not_draw_the_traffic() {
-    // The caller sees error after error. One target of five loses its database and answers 500
-    // within a millisecond, so it is always idle and its service time looks the best of all; a
-    // choice by load alone would send it nearly everything.
+fn a_target_that_fails_fast_does_not_attract_traffic() {
+    // One target of five loses its database and answers 500 within a millisecond. It is always idle
+    // and has the shortest service time, so a choice by load alone would send it nearly all calls.
     for urgency in [Urgency::Urgent, Urgency::Routine] {
         let mut now = Instant::now();
         let mut pick = pick(now, 1, 5);
@@ -34,7 +33,7 @@
             load.service_us = if bad { 1_000 } else { 10_000 };
             pick.end(now, &chosen, &answer(kind, 6, load));
         }
-        assert!(failed >= 3, "it is still tried now and then: {failed}");
+        assert!(failed >= 3, "it still gets trial calls: {failed}");
         assert!(failed <= 20, "one in a hundred at most: {failed} of 2000");
         pick.begin(now, &name(0));
         pick.end(
@@ -42,7 +41,7 @@
             &name(0),
             &answer(Kind::Ok, 9, report(0, 0)),
         );
-        // The smoothed share of failures fades with each success.
+        // The smoothed failure rate falls with each success.
         for _ in 0..40 {
             pick.begin(now, &name(0));
             pick.end(
@@ -51,23 +50,23 @@
                 &answer(Kind::Ok, 9, report(0, 0)),
             );
         }
-        let back = shares(&mut pick, now + millis(9), urgency, 5, TRIES)[0];
-        assert!(back > 0.2, "it draws again once it succeeds: {back}");
+        let back = shares(&mut pick, now + millis(9), urgency, 5, ROUNDS)[0];
+        assert!(back > 0.2, "it gets its share back after successes: {back}");
     }
 }
 
 #[test]
-fn a_stale_report_of_an_idle_target_draws_no_herd() {
-    // The caller waits in a long queue while other targets idle. Thirty-seven entries have each
-    // heard 300 ms ago that target 0 was idle and all others busy, and now send at the same
-    // moment; a choice of the least load would put all of it on target 0.
-    let heard = Instant::now();
-    let now = heard + millis(300);
+fn a_stale_report_of_an_idle_target_causes_no_herd() {
+    // Each of 37 entries received a report 300 ms ago that target 0 was idle and all others busy,
+    // and now sends at the same time. A choice of the least reported load would queue all requests
+    // at target 0 while the others are idle.
+    let reported_at = Instant::now();
+    let now = reported_at + millis(300);
     let mut herd = 0;
     for entry in 0..37 {
-        let mut pick = pick(heard, entry, 16);
+        let mut pick = pick(reported_at, entry, 16);
         for i in 0..16 {
-            pick.receive_report(heard, &name(i), report(if i == 0 { 0 } else { 9 }, 0));
+            pick.receive_report(reported_at, &name(i), report(if i == 0 { 0 } else { 9 }, 0));
         }
         for _ in 0..16 {
             let chosen = pick
@@ -86,8 +85,8 @@
 
 #[test]
 fn own_sends_since_the_report_are_counted() {
-    // The caller of the tenth request queues behind nine of the same entry. A fresh report says
-    // that target 0 is idle, and ten requests come before the next report.
+    // A fresh report says that target 0 is idle, and ten requests arrive before the next report.
+    // Without counting the entry's own calls, the tenth would queue behind the other nine.
     let now = Instant::now();
     let mut pick = pick(now, 3, 5);
     for i in 0..5 {
@@ -104,15 +103,16 @@
     }
     assert!(
         sent[0] <= 8,
-        "the idle one fills up to the others: {sent:?}"
+        "the idle target fills up to the load of the others: {sent:?}"
     );
     assert!(sent.iter().all(|count| *count >= 1), "{sent:?}");
 }
 
 #[test]
-fn a_silent_target_stops_drawing() {
-    // The caller waits twenty times as long as usual. Target 0 has become slow at once; it
-    // answers nothing, so its last report stays good. The calls that are overdue must tell.
+fn an_unresponsive_target_loses_its_share() {
+    // Target 0 suddenly becomes slow. It answers nothing, so its last report stays good, and
+    // further callers would wait twenty times as long as usual. Its overdue calls must lower its
+    // share.
     let start = Instant::now();
     let mut pick = pick(start, 4, 5);
     for i in 0..5 {
@@ -125,15 +125,15 @@
     for i in 1..5 {
         pick.receive_report(now, &name(i), report(5, 0));
     }
-    let share = shares(&mut pick, now, Urgency::Routine, 5, TRIES)[0];
+    let share = shares(&mut pick, now, Urgency::Routine, 5, ROUNDS)[0];
     assert!(share < 0.02, "{share}");
 }
 
 #[test]
 fn a_cold_target_gets_its_share_by_answers() {
-    // The caller waits for a server that has just started and compiles its code on the first
-    // requests. It is idle, so a choice by load would send it the most; a ramp by time alone
-    // would open it before it has run anything.
+    // A target that has just started compiles its code on the first requests and is slow. It is
+    // idle, so a choice by load would send it the most calls; a ramp by time alone would end before
+    // it has run anything.
     let now = Instant::now();
     let mut pick = pick(now, 5, 4);
     for i in 0..4 {
@@ -146,27 +146,27 @@
         let mut cold = report(0, 0);
         cold.answered = answered;
         pick.receive_report(now, &name(4), cold);
-        let share = shares(&mut pick, now, Urgency::Routine, 5, TRIES)[4];
+        let share = shares(&mut pick, now, Urgency::Routine, 5, ROUNDS)[4];
         assert!(share > last, "{answered} answers: {share} after {last}");
         assert!(answered > 0 || share < 0.02, "first share {share}");
         last = share;
     }
-    // A restart brings a new incarnation, and the ramp begins again.
+    // A restart brings a new incarnation, for which the ramp begins again.
     targets[4].incarnation = Incarnation(2);
     pick.set_targets(now, &targets);
-    let share = shares(&mut pick, now, Urgency::Routine, 5, TRIES)[4];
+    let share = shares(&mut pick, now, Urgency::Routine, 5, ROUNDS)[4];
     assert!(share < 0.15, "{share}");
 }
 
 #[test]
-fn the_way_to_another_zone_has_no_cliff() {
-    // Callers of one zone see their latency jump when a threshold moves all of their traffic to
-    // another zone, whose targets then fill up and send it back. The share that stays must
-    // fall step by step as the wait at home grows.
+fn traffic_moves_to_another_zone_gradually() {
+    // If a threshold moved all traffic of a zone to another one at once, the targets there would
+    // fill up and the traffic would move back, and callers would see their latency jump. The share
+    // that stays must fall gradually as the wait in the zone grows.
     let now = Instant::now();
     let zone = "a".parse().expect("a zone");
-    let way = Duration::from_micros(1_500);
-    let mut pick = Pick::builder(zone).network_delay(way).seed(6).build();
+    let delay = Duration::from_micros(1_500);
+    let mut pick = Pick::builder(zone).network_delay(delay).seed(6).build();
     let targets: Vec<Target> = (0..4)
         .map(|i| target(i, if i == 0 { "a" } else { "b" }))
         .collect();
@@ -182,7 +182,7 @@
             pick.receive_report(now, &name(i), load(8));
         }
         pick.receive_report(now, &name(0), load(running));
-        let share = shares(&mut pick, now, Urgency::Routine, 4, TRIES)[0];
+        let share = shares(&mut pick, now, Urgency::Routine, 4, ROUNDS)[0];
         assert!(share < last + 0.03, "{running}: {share} after {last}");
         steepest = steepest.max(last - share);
         last = share;
@@ -198,9 +198,10 @@
 }
 
 #[test]
-fn calls_lost_in_a_crash_are_not_held_against_the_next_life() {
-    // The callers' other targets are overloaded while one that has crashed and come back idles.
-    // Ten calls ran at the crash; their silent links are given up after it is there again.
+fn calls_lost_in_a_crash_do_not_count_against_the_next_incarnation() {
+    // A target crashes with ten calls in flight, whose unresponsive links are given up only after
+    // it has restarted. If they counted as its failures, it would stay idle while the other targets
+    // are overloaded.
     let start = Instant::now();
     let mut pick = pick(start, 9, 2);
     (0..10).for_each(|_| pick.begin(start, &name(0)));
@@ -219,9 +220,9 @@
 }
 
 #[test]
-fn when_all_fail_one_is_still_tried() {
-    // The caller is refused although the targets are back. All of them failed for a moment, and
-    // each one's share is capped.
+fn when_all_targets_fail_one_is_still_chosen() {
+    // All targets failed for a moment, so the share of each is capped. Callers must not be refused
+    // when the targets have recovered.
     let now = Instant::now();
     let mut pick = pick(now, 7, 3);
     for i in (0..3).flat_map(|i| [i; 9]) {
@@ -232,9 +233,9 @@
 }
 
 #[test]
-fn a_gate_that_refuses_draws_no_more_and_a_full_service_gets_no_hand_overs() {
-    // Callers are refused although other targets have room. A refused call is gone at once, so
-    // the gate that refuses looks the idlest to the entry and draws the next ones too.
+fn a_refusing_gate_is_avoided_and_a_full_service_gets_no_handovers() {
+    // A refused call ends at once, so a gate that refuses looks the least loaded to the entry and
+    // would attract the next calls too, although other targets have room.
     let now = Instant::now();
     let mut pick = pick(now, 8, 5);
     for i in 0..5 {
@@ -248,7 +249,7 @@
         refusal.report = None;
         pick.end(now, &name(i), &refusal);
         if i == 0 {
-            let share = shares(&mut pick, now, Urgency::Routine, 5, TRIES)[0];
+            let share = shares(&mut pick, now, Urgency::Routine, 5, ROUNDS)[0];
             assert!(share < 0.02, "{share}");
         }
     }
@@ -257,8 +258,8 @@
 }
 
 proptest! {
-    /// No order of events brings up a target that is excluded, leaving or gone, and calls that
-    /// have ended leave nothing behind.
+    /// In no order of events is a target chosen that is excluded or leaving, and calls that have
+    /// ended are no longer counted.
     #[test]
     fn only_targets_that_may_serve_are_chosen(
         seed: u64,
@@ -299,9 +300,9 @@
 
 #[test]
 fn a_target_without_a_link_is_never_the_last_resort() {
-    // The caller hangs until its deadline. Two of three targets are full and refuse, and the third
-    // stands on a machine that has lost its power: the last hand-over went to it for want of any
-    // other, and nothing answers there.
+    // Two of three targets are full and refuse, and the third runs on a machine that has lost
+    // power. If the last handover went there for want of another target, nothing would answer and
+    // the caller would wait until its deadline.
     let now = Instant::now();
     let mut pick = pick(now, 1, 3);
     pick.set_unreachable(&name(2), true);
@@ -320,10 +321,10 @@
 }
 
 #[test]
-fn a_closed_gate_is_asked_first_but_not_after_others() {
-    // The caller is told that there is no target, while its request was refused for want of room and
-    // would be served a moment later. Where all gates are closed, one of them is asked, as it may have
-    // opened since.
+fn a_closed_gate_gets_a_first_attempt_but_no_handover() {
+    // After a refusal for lack of room, a closed gate is not chosen: its answer would tell the
+    // caller that there is no target, while the request could be served a moment later. If all
+    // gates are closed, a first attempt goes to one of them, since it may have opened.
     let now = Instant::now();
     let mut pick = pick(now, 1, 2);
     let mut closed = report(0, 0);
--- a/crates/pick/tests/decisions/join.rs
+++ b/crates/pick/tests/decisions/join.rs
@@ -1,4 +1,4 @@
-//! Targets that join, close, or can't be reached.
+//! Targets that are added, take no work, or have no link.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// A choice in `near` with two targets there and one far, where the far cost much.
+/// A [`Pick`] in zone `near` with two targets there and one in `far`, at a high cross-zone cost.
 fn pick(now: Instant) -> Pick {
     let zone: Zone = "near".parse().expect("a zone");
     let setting = Setting {
@@ -46,33 +46,33 @@
     (0..count).map(choose).collect()
 }
 
-/// A target joins in another zone while there is little to do. Estimates keep all requests near, and
-/// it would never be asked until it is needed: so each entry asks it once.
+/// A target joins in another zone at low load. The estimates keep all requests in their zone, so
+/// without this it would get no call until it is needed, and its speed would be unknown.
 #[test]
-fn one_that_joins_far_away_is_asked_once() {
+fn a_new_target_in_another_zone_is_called_once() {
     let mut now = Instant::now();
     let mut pick = pick(now);
     chosen(&mut pick, &mut now, 50);
     let mut all = vec![target("a", "near"), target("b", "near"), target("c", "far")];
     all.push(target("d", "far"));
     pick.set_targets(now, &all);
-    let asked = chosen(&mut pick, &mut now, 50);
+    let called = chosen(&mut pick, &mut now, 50);
     assert_eq!(
-        asked.iter().filter(|name| *name == "d").count(),
+        called.iter().filter(|name| *name == "d").count(),
         1,
-        "{asked:?}"
+        "{called:?}"
     );
 }
 
-/// A call to another zone is paid for by the byte, so requests stay while the wait is short, and go
-/// when it is long.
+/// Traffic between zones is billed by the byte, so requests leave their zone only when the wait
+/// there is long.
 #[test]
 fn requests_stay_in_their_zone_while_the_wait_is_short() {
     let mut now = Instant::now();
     let mut pick = pick(now);
     let near = chosen(&mut pick, &mut now, 100);
     let far = near.iter().filter(|name| *name == "c").count();
-    assert!(far <= 2, "{far} of 100 went far");
+    assert!(far <= 2, "{far} of 100 left the zone");
     let need = Need {
         zone: Preference::Near,
         ..Need::of(Urgency::Routine)
@@ -85,16 +85,16 @@
     assert_eq!(instance.as_str(), "c");
 }
 
-/// A target without a link, or whose gate has said that it takes no work, is passed over while there
-/// are others; when there are none, it is better than nothing.
+/// A target that has no link, or reported that it takes no work, is passed over while there are
+/// others. It is called again after the report has expired.
 #[test]
-fn closed_and_cut_targets_are_passed_over() {
+fn closed_and_unreachable_targets_are_skipped() {
     let mut now = Instant::now();
     let mut pick = pick(now);
     chosen(&mut pick, &mut now, 20);
     pick.set_unreachable(&"a".parse().expect("a name"), true);
-    let asked = chosen(&mut pick, &mut now, 20);
-    assert!(!asked.contains(&"a".to_string()), "{asked:?}");
+    let called = chosen(&mut pick, &mut now, 20);
+    assert!(!called.contains(&"a".to_string()), "{called:?}");
     let closed = unit::Report {
         closed: true,
         ..report(0, 0)
@@ -104,18 +104,19 @@
     let instance = pick.choose(now, &need).expect("a target");
     assert_eq!(instance.as_str(), "c");
     now += Duration::from_millis(600);
-    let asked = chosen(&mut pick, &mut now, 20);
+    let called = chosen(&mut pick, &mut now, 20);
     assert!(
-        asked.contains(&"b".to_string()),
-        "it is asked again: {asked:?}"
+        called.contains(&"b".to_string()),
+        "it is called again: {called:?}"
     );
 }
 
-/// Thirty targets join a service of 66, and 40 entries use each of them. If each entry asked each new
-/// one with its next requests, a new target would have 40 requests in the moment in which it is cold, and
-/// runs seven. Together the entries send it its fair share, and each has asked it soon.
+/// Thirty targets join a service of 66 that 40 entries use. If each entry sent each new target one
+/// of its next requests, a new target would get 40 requests at once while it is cold and runs seven
+/// at a time. All entries together must send it its fair share, and most new targets must get calls
+/// soon.
 #[test]
-fn targets_that_join_are_not_asked_by_all_at_once() {
+fn new_targets_are_not_called_by_all_entries_at_once() {
     const ENTRIES: u64 = 40;
     let mut now = Instant::now();
     let name = |number: usize| format!("t-{number}");
@@ -135,18 +136,18 @@
         pick.set_targets(now, &all);
     }
     let need = Need::of(Urgency::Routine);
-    let mut asked = std::collections::BTreeMap::new();
+    let mut called = std::collections::BTreeMap::new();
     for pick in &mut entries {
         for _ in 0..10 {
             let instance = pick.choose(now, &need).expect("a target");
             pick.begin(now, &instance);
-            *asked.entry(instance).or_insert(0) += 1;
+            *called.entry(instance).or_insert(0) += 1;
         }
     }
-    let newest = |number: usize| asked.get(&name(number).parse().expect("a name"));
+    let newest = |number: usize| called.get(&name(number).parse().expect("a name"));
     let most = (66..96).filter_map(newest).max().copied().unwrap_or(0);
     // 400 requests over 96 targets are 4 for each.
     assert!(most <= 14, "{most} for one new target");
     let first = (66..96).filter(|number| newest(*number).is_some()).count();
-    assert!(first >= 20, "{first} of 30 new targets were asked");
+    assert!(first >= 20, "{first} of 30 new targets were called");
 }
--- a/crates/pick/tests/decisions/main.rs
+++ b/crates/pick/tests/decisions/main.rs
@@ -1,8 +1,8 @@
-//! Failure tests of the decisions at the entry.
+//! Tests of the decisions at the entry against known failures.
 
 mod budget;
 mod choice;
+mod fast;
 mod join;
 mod subset;
-mod turn;
 mod world;
--- a/crates/pick/tests/decisions/subset.rs
+++ b/crates/pick/tests/decisions/subset.rs
@@ -30,8 +30,8 @@
 
 #[test]
 fn the_load_is_even_over_the_targets() {
-    // One target in some service is hot all day although its service idles: more entries have it
-    // in their subsets than others.
+    // One target is permanently hot in an otherwise idle service, because more entries have it in
+    // their subsets than other targets.
     let setting = Setting::default();
     let mut worst: f64 = 0.0;
     let mut least: f64 = f64::MAX;
@@ -59,9 +59,9 @@
 }
 
 #[test]
-fn one_target_that_leaves_moves_only_its_own_entries() {
-    // Many callers see fresh links and cold statistics at once, because one instance was
-    // replaced and every entry has drawn its whole subset anew.
+fn removing_a_target_changes_only_the_entries_that_used_it() {
+    // One instance is replaced, and if every entry drew its whole subset anew, many callers would
+    // get new links and empty statistics at once.
     let setting = Setting::default();
     let before = service(0);
     let after: Vec<Target> = before.iter().skip(1).cloned().collect();
@@ -80,9 +80,10 @@
 }
 
 proptest! {
-    /// The own zone is whole, the rest is as large as set, and the order of arrival is nothing.
+    /// The subset contains the entry's whole zone and the set number of other targets, whatever the
+    /// order of the targets.
     #[test]
-    fn it_depends_on_the_set_alone(seed: u64, count in 1_usize..60, turn in 0_usize..60) {
+    fn the_subset_depends_only_on_the_set_of_targets(seed: u64, count in 1_usize..60, turn in 0_usize..60) {
         let setting = Setting::default();
         let mut targets: Vec<Target> =
             (0..count).map(|i| crate::world::target(i, ["a", "b", "c"][i % 3])).collect();
--- a/crates/pick/tests/decisions/world.rs
+++ b/crates/pick/tests/decisions/world.rs
@@ -1,4 +1,4 @@
-//! Small helpers for the tests of the choice.
+//! Helpers for the tests.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// A choice of an entry in zone `a` over `count` targets of that zone.
+/// A [`Pick`] of an entry in zone `a` with `count` targets in that zone.
 pub fn pick(now: Instant, seed: u64, count: usize) -> Pick {
     let zone = "a".parse().expect("a zone");
     let mut pick = Pick::builder(zone).seed(seed).build();
@@ -30,7 +30,7 @@
     pick
 }
 
-/// The report of a warm gate with ten slots of 10 ms.
+/// A report of a warm gate with a limit of 10 and a service time of 10 ms.
 pub fn report(running: u16, waiting: u16) -> Report {
     Report {
         running,
@@ -43,7 +43,7 @@
     }
 }
 
-/// An answer after `millis` with a report.
+/// An answer after `millis` milliseconds with a report.
 pub fn answer(kind: Kind, millis: u64, report: Report) -> Answer {
     Answer {
         latency: Duration::from_millis(millis),
@@ -52,21 +52,21 @@
     }
 }
 
-/// How often each of `count` targets is chosen in `tries` choices that are not begun.
+/// The share of each of `count` targets in `rounds` choices, for which no call begins.
 pub fn shares(
     pick: &mut Pick,
     now: Instant,
     urgency: Urgency,
     count: usize,
-    tries: u32,
+    rounds: u32,
 ) -> Vec<f64> {
     let mut shares = vec![0.0; count];
-    for _ in 0..tries {
+    for _ in 0..rounds {
         let chosen = pick.choose(now, &Need::of(urgency)).expect("a target");
         let place = (0..count)
             .find(|i| name(*i) == chosen)
             .expect("a known one");
-        shares[place] += 1.0 / f64::from(tries);
+        shares[place] += 1.0 / f64::from(rounds);
     }
     shares
 }
