--- a/crates/pick/src/pick.rs
+++ b/crates/pick/src/pick.rs
@@ -345,8 +345,8 @@
 
     /// Returns a failing target that is due for a trial call.
     ///
-    /// It bypasses the estimate, by which it would never be chosen. Urgent requests are used for
-    /// this only when none has been made for [`TRIAL_INTERVAL`].
+    /// It bypasses the estimate, by which it would never be chosen. An urgent request is used for
+    /// this only if the target has not been chosen for [`TRIAL_INTERVAL`].
     fn trial(&self, now: Instant, need: &Need<'_>, eligible: &[usize]) -> Option<usize> {
         let urgent = need.urgency == Urgency::Urgent;
         let due = |index: &usize| {
