--- a/crates/pick/src/lib.rs
+++ b/crates/pick/src/lib.rs
@@ -1,8 +1,8 @@
-//! The choice of a target at the entry, and the budgets for measuring, retries and hedges.
+//! Chooses targets at the entry, and keeps the budgets for load reports, retries and hedges.
 //!
-//! All of it is decision code: no I/O, the time is passed in, random numbers are seeded. One
-//! [`Pick`] serves one service at one entry; [`Shared`] puts it under a lock of its own and gives
-//! guards, so that a call that is dropped is counted as cancelled.
+//! The code does no I/O; the time is passed in, and random numbers are seeded. One [`Pick`] serves
+//! one service at one entry. [`Shared`] puts it under a lock and returns guards, so that a dropped
+//! call counts as cancelled.
 //!
 //! ```
 //! use std::time::Duration;
@@ -13,7 +13,7 @@
 //!
 //! let now = Instant::now();
 //! let mut pick = Pick::builder("longbien".parse()?)
-//!     .way(Duration::from_micros(1_500))
+//!     .network_delay(Duration::from_micros(1_500))
 //!     .seed(7)
 //!     .build();
 //! let target = Target {
@@ -22,7 +22,7 @@
 //!     incarnation: Incarnation(1),
 //!     leaving: false,
 //! };
-//! pick.set(now, &[target]);
+//! pick.set_targets(now, &[target]);
 //!
 //! let chosen = pick.choose(now, &Need::of(Urgency::Urgent)).ok_or("no target")?;
 //! pick.begin(now, &chosen);
@@ -46,10 +46,10 @@
 mod pick;
 mod record;
 pub mod retry;
+mod round_robin;
 mod score;
 mod setting;
 mod shared;
-mod split;
 pub mod subset;
 mod target;
 mod tokens;
@@ -59,7 +59,7 @@
 pub use dump::Dump;
 pub use need::{Need, Preference};
 pub use pick::Pick;
+pub use round_robin::RoundRobin;
 pub use setting::Setting;
 pub use shared::{Basis, Guard, Shared};
-pub use split::Wheel;
 pub use target::Target;
