--- a/crates/appleshore/src/assembly.rs
+++ b/crates/appleshore/src/assembly.rs
@@ -52,7 +52,10 @@
         // vary five times by spells that are no one's fault. What is left to find is whether it
         // slows down before its last slot. Slots kept for urgent work would lie idle: the queue
         // serves it first, and a slot is free within a tenth of a service time.
-        gate = gate.law(gate::Law::Knee).reserve(0.0).alone(false);
+        gate = gate
+            .law(gate::Law::Knee)
+            .reserve(0.0)
+            .isolate_suspects(false);
     }
     let server = Server::builder(setting.service.clone(), setting.target, gate.build())
         .nests(nests.clone())
--- a/crates/appleshore/src/notice.rs
+++ b/crates/appleshore/src/notice.rs
@@ -65,17 +65,17 @@
 
 /// Tells of each change of `gate`, for ever.
 pub(crate) async fn run(gate: Gate, hearers: Arc<Hearers>) {
-    let mut mark = gate.mark();
+    let mut condition = gate.condition();
     loop {
-        let now = *mark.borrow_and_update();
+        let now = *condition.borrow_and_update();
         let changed = match now.slow || now.closed {
-            true => timeout(AGAIN, mark.changed()).await.unwrap_or(Ok(())),
-            false => mark.changed().await,
+            true => timeout(AGAIN, condition.changed()).await.unwrap_or(Ok(())),
+            false => condition.changed().await,
         };
         if changed.is_err() {
             return;
         }
-        mark.borrow_and_update();
+        condition.borrow_and_update();
         match codec::pack(&gate.report()) {
             Ok(payload) => hearers.tell(&Note {
                 topic: Topic::Load,
--- a/crates/gate/src/builder.rs
+++ b/crates/gate/src/builder.rs
@@ -21,7 +21,7 @@
     pub(crate) suspicion: Duration,
     pub(crate) conviction: Duration,
     pub(crate) down_retry: Duration,
-    pub(crate) alone: bool,
+    pub(crate) isolate_suspects: bool,
 }
 
 /// Builds a [`Gate`], or its bare [`Core`].
@@ -46,7 +46,7 @@
             suspicion: Duration::from_secs(120),
             conviction: Duration::from_secs(600),
             down_retry: Duration::from_secs(1),
-            alone: true,
+            isolate_suspects: true,
         };
         Builder { setting }
     }
@@ -128,8 +128,8 @@
     /// Where the paths of requests are alone of their kind, bystanders of a crash don't come again
     /// but as repeats, and a drain for each of them would cost more than the crash. Crashes are then
     /// counted over all gates, and the third convicts.
-    pub fn alone(mut self, alone: bool) -> Builder {
-        self.setting.alone = alone;
+    pub fn isolate_suspects(mut self, isolate: bool) -> Builder {
+        self.setting.isolate_suspects = isolate;
         self
     }
 
--- a/crates/gate/src/core.rs
+++ b/crates/gate/src/core.rs
@@ -270,7 +270,7 @@
 
     /// The run of a dispatched request took so much work at the target, without the calls that the
     /// target made for it.
-    pub fn worked(&mut self, now: Instant, id: Id, work: Duration) {
+    pub fn record_work(&mut self, now: Instant, id: Id, work: Duration) {
         if let Some(held) = self.held.get(&id) {
             let run = (held.request.class, held.among, held.pace);
             self.watch_knee(now, run, work);
@@ -367,7 +367,7 @@
     ///
     /// Its answers count from nothing, so that entries send it little at first. Tokens stay, for what
     /// the start before was sent may have run; so do suspicions, for what has crashed it will again.
-    pub fn target_began(&mut self, now: Instant) {
+    pub fn target_restarted(&mut self, now: Instant) {
         self.answered = 0;
         self.knee = Knee::new(now, self.limit.slots());
         self.limit.chill();
@@ -377,7 +377,7 @@
     }
 
     /// The target is there and takes work, with so many slots; a new life of it perhaps.
-    pub fn target_here(&mut self, now: Instant, slots: u16) {
+    pub fn target_ready(&mut self, now: Instant, slots: u16) {
         self.leaving = false;
         if self.limit.slots() != usize::from(slots.max(1)) {
             self.knee = Knee::new(now, usize::from(slots.max(1)));
@@ -402,7 +402,7 @@
     /// all others until they are convicted.
     pub(crate) fn standing(&self, now: Instant, kind: Digest) -> Standing {
         match self.suspects.standing(now, kind) {
-            Standing::Suspect if !self.setting.alone => Standing::Innocent,
+            Standing::Suspect if !self.setting.isolate_suspects => Standing::Innocent,
             standing => standing,
         }
     }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -65,7 +65,7 @@
 pub use limit::Law;
 pub use refusal::Refusal;
 pub use request::{End, Id, Request};
-pub use shell::{Gate, Mark, Permit, Running};
+pub use shell::{Condition, Gate, Permit, Running};
 pub use suspect::Suspicion;
 pub use token::{Fence, Status};
 pub use unit::Cause;
--- a/crates/gate/src/shell.rs
+++ b/crates/gate/src/shell.rs
@@ -33,7 +33,7 @@
 struct Inner {
     state: Mutex<State>,
     hot: watch::Sender<bool>,
-    mark: watch::Sender<Mark>,
+    condition: watch::Sender<Condition>,
     running: watch::Sender<usize>,
     /// Tells the clock task that the next timer may have changed.
     changed: Arc<Notify>,
@@ -41,7 +41,7 @@
 
 /// What entries should hear of as soon as it changes, and not with the next answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Mark {
+pub struct Condition {
     /// The target takes no work.
     pub closed: bool,
     /// Work takes much longer than usual at the target at this moment.
@@ -152,9 +152,9 @@
         let hot = core.hot();
         self.hot
             .send_if_modified(|old| std::mem::replace(old, hot) != hot);
-        let mark = core.mark(now);
-        self.mark
-            .send_if_modified(|old| std::mem::replace(old, mark) != mark);
+        let condition = core.condition(now);
+        self.condition
+            .send_if_modified(|old| std::mem::replace(old, condition) != condition);
         let running = core.running();
         self.running
             .send_if_modified(|old| std::mem::replace(old, running) != running);
@@ -223,7 +223,7 @@
         let inner = Inner {
             state: Mutex::new(state),
             hot: watch::Sender::new(false),
-            mark: watch::Sender::default(),
+            condition: watch::Sender::default(),
             running: watch::Sender::new(0),
             changed: Arc::new(Notify::new()),
         };
@@ -255,8 +255,8 @@
     }
 
     /// Tells each change that entries should hear of at once.
-    pub fn mark(&self) -> watch::Receiver<Mark> {
-        self.inner.mark.subscribe()
+    pub fn condition(&self) -> watch::Receiver<Condition> {
+        self.inner.condition.subscribe()
     }
 
     /// What the gate knows of a token.
@@ -292,9 +292,9 @@
         self.inner.with(Core::target_up);
     }
 
-    /// The target is there, with so many slots; see [`Core::target_here`].
-    pub fn target_here(&self, slots: u16) {
-        self.inner.with(|core, now| core.target_here(now, slots));
+    /// The target is there, with so many slots; see [`Core::target_ready`].
+    pub fn target_ready(&self, slots: u16) {
+        self.inner.with(|core, now| core.target_ready(now, slots));
     }
 
     /// The target has just started; see [`Core::target_cold`].
@@ -302,13 +302,13 @@
         self.inner.with(|core, _| core.target_cold());
     }
 
-    /// The target has started anew; see [`Core::target_began`].
-    pub fn target_began(&self) {
-        self.inner.with(Core::target_began);
+    /// The target has started anew; see [`Core::target_restarted`].
+    pub fn target_restarted(&self) {
+        self.inner.with(Core::target_restarted);
     }
 
     /// The target tells how long work takes at it now; see [`Core::set_pace`].
-    pub fn pace(&self, pace: u16) {
+    pub fn set_pace(&self, pace: u16) {
         self.inner.with(|core, now| core.set_pace(now, pace));
     }
 
@@ -385,13 +385,13 @@
         Running { slot, since }
     }
 
-    /// Whether the target should tell its pace before the request leaves; see [`Core::wants_word`].
-    pub fn wants_word(&self) -> bool {
+    /// Whether the target should tell its pace before the request leaves; see [`Core::needs_pace_probe`].
+    pub fn needs_pace_probe(&self) -> bool {
         let Some(slot) = &self.slot else {
             return false;
         };
         let state = slot.inner.state.lock();
-        state.core.wants_word(Instant::now(), slot.id)
+        state.core.needs_pace_probe(Instant::now(), slot.id)
     }
 
     /// Looks once more whether the request should start now, and waits again if not; see
@@ -439,10 +439,11 @@
         self.end(end);
     }
 
-    /// Tells how much work the run was for the target; see [`Core::worked`].
-    pub fn worked(&self, work: Duration) {
+    /// Tells how much work the run was for the target; see [`Core::record_work`].
+    pub fn record_work(&self, work: Duration) {
         if let Some(slot) = &self.slot {
-            slot.inner.with(|core, now| core.worked(now, slot.id, work));
+            slot.inner
+                .with(|core, now| core.record_work(now, slot.id, work));
         }
     }
 
--- a/crates/gate/src/spell.rs
+++ b/crates/gate/src/spell.rs
@@ -12,7 +12,7 @@
 
 use crate::core::Core;
 use crate::request::{Id, Request};
-use crate::shell::Mark;
+use crate::shell::Condition;
 use crate::verdict::Verdict;
 
 /// More than a request loses by being handed to another gate: a round trip and the waking of two daemons
@@ -34,8 +34,8 @@
 
 impl Core {
     /// What entries should hear of at once.
-    pub(crate) fn mark(&self, now: Instant) -> Mark {
-        Mark {
+    pub(crate) fn condition(&self, now: Instant) -> Condition {
+        Condition {
             closed: self.down || self.leaving,
             slow: self.pace.is_slow(now),
         }
@@ -79,7 +79,7 @@
     }
 
     /// Whether a request that holds a slot should not start before the target has told its pace anew.
-    pub fn wants_word(&self, now: Instant, id: Id) -> bool {
+    pub fn needs_pace_probe(&self, now: Instant, id: Id) -> bool {
         let Some(held) = self.held.get(&id) else {
             return false;
         };
--- a/crates/gate/src/suspect.rs
+++ b/crates/gate/src/suspect.rs
@@ -67,7 +67,7 @@
         Table {
             suspicion: setting.suspicion,
             conviction: setting.conviction,
-            sums: !setting.alone,
+            sums: !setting.isolate_suspects,
             records: BTreeMap::new(),
         }
     }
--- a/crates/gate/tests/all/admission.rs
+++ b/crates/gate/tests/all/admission.rs
@@ -390,7 +390,7 @@
     // refused, at four gates in a row, and the run that waited for it failed.
     let mut now = Instant::now();
     let builder = Builder::new(6).law(gate::Law::Knee).reserve(0.0);
-    let mut core = builder.alone(false).core(now);
+    let mut core = builder.isolate_suspects(false).core(now);
     warm(&mut core, &mut now, 80, ms(100));
     let running: Vec<_> = (0..6)
         .map(|token| start(&mut core, now, request(now, token, "desk")))
--- a/crates/gate/tests/all/fresh.rs
+++ b/crates/gate/tests/all/fresh.rs
@@ -12,7 +12,7 @@
 
 fn gate(now: Instant) -> Core {
     let builder = Builder::new(SLOTS).law(Law::Knee).reserve(0.0);
-    builder.alone(false).core(now)
+    builder.isolate_suspects(false).core(now)
 }
 
 fn with_goal(now: Instant, token: u128, class: u32, goal: u64) -> Request {
@@ -49,7 +49,7 @@
     let Verdict::Start(id) = core.offer(later, with_goal(later, 1, 3, 1_000)) else {
         panic!("it has a slot");
     };
-    assert!(core.wants_word(later, id));
+    assert!(core.needs_pace_probe(later, id));
 }
 
 #[test]
@@ -65,7 +65,7 @@
         panic!("it has a slot");
     };
     assert!(
-        core.wants_word(now, asks),
+        core.needs_pace_probe(now, asks),
         "a target that starts anew is asked"
     );
     core.set_pace(now, 1_000);
@@ -138,7 +138,7 @@
             runs += held.len();
             for (at, id) in held.into_iter().enumerate() {
                 let work = if at < knee { ms(60) } else { ms(99) };
-                core.worked(now, id, work);
+                core.record_work(now, id, work);
                 core.finish(now, id, gate::End::Answered { latency: work });
                 core.poll(now);
             }
--- a/crates/gate/tests/all/invariant.rs
+++ b/crates/gate/tests/all/invariant.rs
@@ -117,7 +117,7 @@
             Op::Pace(pace) => self.core.set_pace(now, pace),
             Op::Began => {
                 self.core.target_cold();
-                self.core.target_began(now);
+                self.core.target_restarted(now);
             }
             Op::Cancel(at) => self.cancel(at).unwrap_or_default(),
             Op::Fence(at) => self.fence(at).unwrap_or_default(),
--- a/crates/gate/tests/all/spell.rs
+++ b/crates/gate/tests/all/spell.rs
@@ -11,7 +11,7 @@
 /// A gate before a target that tells its pace, and knows that work of [`CLASS`] takes 60 ms.
 fn gate(slots: u16, now: &mut Instant) -> Core {
     let builder = Builder::new(slots).law(Law::Knee).reserve(0.0);
-    let mut core = builder.alone(false).core(*now);
+    let mut core = builder.isolate_suspects(false).core(*now);
     core.set_pace(*now, 100);
     for token in 0..20 {
         let id = start(&mut core, *now, of_class(*now, 1_000 + token));
@@ -181,7 +181,7 @@
         .into_iter()
         .map(|(among, id)| (id, ms(60 * slow(among) / 100)));
     for (id, work) in held {
-        core.worked(*now, id, work);
+        core.record_work(*now, id, work);
         core.finish(*now, id, End::Answered { latency: work });
         core.poll(*now);
     }
@@ -223,7 +223,7 @@
     let mut core = gate(4, &mut now);
     core.leave(now);
     assert_eq!(cause(&mut core, now, of_class(now, 1)), Cause::Leaving);
-    core.target_here(now, 2);
+    core.target_ready(now, 2);
     start(&mut core, now, of_class(now, 2));
     start(&mut core, now, of_class(now, 3));
     wait(&mut core, now, of_class(now, 4));
@@ -232,14 +232,17 @@
 #[tokio::test(start_paused = true)]
 async fn turns_of_the_target_are_told() {
     let gate = Gate::builder(4).build();
-    let mut mark = gate.mark();
-    gate.pace(500);
-    assert!(mark.has_changed().expect("the gate lives"));
-    assert!(mark.borrow_and_update().slow);
-    gate.pace(450);
-    assert!(!mark.has_changed().expect("the gate lives"), "still slow");
+    let mut condition = gate.condition();
+    gate.set_pace(500);
+    assert!(condition.has_changed().expect("the gate lives"));
+    assert!(condition.borrow_and_update().slow);
+    gate.set_pace(450);
+    assert!(
+        !condition.has_changed().expect("the gate lives"),
+        "still slow"
+    );
     gate.target_down();
-    assert!(mark.borrow_and_update().closed);
+    assert!(condition.borrow_and_update().closed);
 }
 
 fn with_choice(request: Request) -> Request {
@@ -324,8 +327,8 @@
         let Verdict::Start(id) = core.offer(now, of_class(now, 1)) else {
             panic!("a free slot");
         };
-        assert!(!core.wants_word(now + ms(1), id));
-        assert_eq!(core.wants_word(now + ms(100), id), wanted);
+        assert!(!core.needs_pace_probe(now + ms(1), id));
+        assert_eq!(core.needs_pace_probe(now + ms(100), id), wanted);
     }
 }
 
@@ -338,7 +341,7 @@
     let mut core = gate(4, &mut now);
     core.target_down(now);
     core.target_cold();
-    core.target_here(now, 4);
+    core.target_ready(now, 4);
     core.set_pace(now, 200);
     let running = start(&mut core, now, of_class(now, 1));
     core.set_pace(now, 1_000);
--- a/crates/target/src/call.rs
+++ b/crates/target/src/call.rs
@@ -126,7 +126,7 @@
     /// much more than that.
     async fn admit(&self) -> Result<Permit, gate::Refusal> {
         let permit = self.server.gate.admit(self.request()).await?;
-        if permit.wants_word() {
+        if permit.needs_pace_probe() {
             self.server.ask_pace().await;
         }
         permit.reconsider().await
--- a/crates/target/src/call/deliver.rs
+++ b/crates/target/src/call/deliver.rs
@@ -105,7 +105,7 @@
         if head.status.is_success()
             && let Some(work) = latency.checked_sub(run.nest.away())
         {
-            run.running.worked(work);
+            run.running.record_work(work);
         }
         let shed = answer::shed(head.status, &head.headers);
         run.running.finish(verdict::end(shed, head.status, latency));
--- a/crates/target/src/presence.rs
+++ b/crates/target/src/presence.rs
@@ -91,7 +91,7 @@
     fn began(&self) {
         self.pool.distrust();
         self.gate.target_cold();
-        self.gate.target_began();
+        self.gate.target_restarted();
     }
 
     /// What is known of the target's life.
@@ -111,7 +111,7 @@
             (life.stage, life.slots)
         };
         match stage {
-            Stage::Ready => self.gate.target_here(slots),
+            Stage::Ready => self.gate.target_ready(slots),
             Stage::Leaving => self.gate.leave(),
             Stage::Down | Stage::Unknown => self.gate.target_down(),
         }
@@ -157,7 +157,7 @@
     pub(crate) fn learn(&self, head: &response::Head) {
         if let Some(figures) = self.dialect.figures(&head.headers) {
             *self.told.lock() = Some(Instant::now());
-            self.gate.pace(figures.pace);
+            self.gate.set_pace(figures.pace);
             self.heard.notify_waiters();
         }
     }
