--- a/crates/gate/src/builder.rs
+++ b/crates/gate/src/builder.rs
@@ -7,7 +7,7 @@
 use crate::limit::Law;
 use crate::{Core, Gate};
 
-/// Checked settings, as the core reads them.
+/// Validated settings, as used by the core.
 #[derive(Debug, Clone)]
 pub(crate) struct Setting {
     pub(crate) slots: u16,
@@ -51,94 +51,95 @@
         Builder { setting }
     }
 
-    /// How the limit follows the latency.
+    /// Sets how the limit follows the latency.
     pub fn law(mut self, law: Law) -> Builder {
         self.setting.law = law;
         self
     }
 
-    /// The share of the limit that only urgent requests may take, 0 to 0.5; at least one slot
-    /// when it is above 0 and the limit is 2 or more. 0.1 unless set.
+    /// Sets the share of the limit that is reserved for urgent requests, from 0 to 0.5; default
+    /// 0.1. If it is above 0 and the limit is at least 2, at least one slot is reserved.
     pub fn reserve(mut self, share: f64) -> Builder {
         self.setting.reserve = share.clamp(0.0, 0.5);
         self
     }
 
-    /// Most requests that wait in each urgency; 1024 unless set.
+    /// Sets the maximum number of waiting requests per urgency; default 1024.
     pub fn queue(mut self, requests: usize) -> Builder {
         self.setting.queue = requests;
         self
     }
 
-    /// Longest wait that a request may be expected to have, whatever its deadline; 300 ms unless
-    /// set.
+    /// Sets the longest expected wait at which a request is still admitted, whatever its deadline;
+    /// default 300 ms.
     ///
-    /// A queue that is bounded by deadlines alone fills during a peak, and what is served behind
-    /// the peak is then old work. With 2 s, 72 % of the requests from a second after a peak of
-    /// three times the capacity were answered in time; with 300 ms, all (`bench policy`, `storm`).
+    /// A queue that is bounded only by deadlines fills up during a peak, and what is served after
+    /// the peak is then stale work. With 2 s, 72 % of the requests arriving from one second after a
+    /// peak of three times the capacity were answered in time; with 300 ms, all were (`bench
+    /// policy`, `storm`).
     pub fn wait(mut self, wait: Duration) -> Builder {
         self.setting.wait = wait;
         self
     }
 
-    /// Expected wait from which the gate calls itself hot; 5 ms unless set. It is cold again
-    /// below half of it.
+    /// Sets the expected wait from which the gate reports itself as hot; default 5 ms. It stops
+    /// being hot below half of this value.
     pub fn hot_wait(mut self, wait: Duration) -> Builder {
         self.setting.hot_wait = wait;
         self
     }
 
-    /// Most tokens remembered; 131,072 unless set. New requests are refused at three quarters,
-    /// the rest is room for fences.
+    /// Sets the maximum number of remembered tokens; default 131,072. New requests are refused once
+    /// three quarters are in use; the rest is reserved for fences.
     pub fn tokens(mut self, tokens: usize) -> Builder {
         self.setting.tokens = tokens.max(4);
         self
     }
 
-    /// How long a token is remembered past its deadline and its end; 40 s unless set.
+    /// Sets how long a token is remembered past its deadline and its end; default 40 s.
     ///
-    /// It must exceed the idle time-out of a link: a frame dies with its link, so no frame is
-    /// under way for longer.
+    /// This must exceed the idle timeout of a link: a frame is lost when its link closes, so no
+    /// frame is in flight for longer than that.
     pub fn grace(mut self, grace: Duration) -> Builder {
         self.setting.grace = grace;
         self
     }
 
-    /// How long a suspicion lasts without another crash; 120 s unless set.
+    /// Sets how long a suspicion lasts without another crash; default 120 s.
     pub fn suspicion(mut self, age: Duration) -> Builder {
         self.setting.suspicion = age;
         self
     }
 
-    /// How long a convicted request is refused; 600 s unless set.
+    /// Sets how long a convicted request is refused; default 600 s.
     pub fn conviction(mut self, length: Duration) -> Builder {
         self.setting.conviction = length;
         self
     }
 
-    /// When to ask again while the target can't be reached or the token table is full; 1 s unless
-    /// set.
+    /// Sets the retry delay reported while the target is unreachable or the token table is full;
+    /// default 1 s.
     pub fn down_retry(mut self, after: Duration) -> Builder {
         self.setting.down_retry = after;
         self
     }
 
-    /// Whether suspects run with nothing beside them; they do unless this is unset.
+    /// Sets whether suspects run in isolation; default true.
     ///
-    /// Where the paths of requests are alone of their kind, bystanders of a crash don't come again
-    /// but as repeats, and a drain for each of them would cost more than the crash. Crashes are then
-    /// counted over all gates, and the third convicts.
+    /// If nearly every request has a path of its own, a bystander of a crash is seen again only
+    /// when it is retried, and draining the target for each bystander would cost more than the
+    /// crash. When this is false, crashes are summed over all gates, and the third one convicts.
     pub fn isolate_suspects(mut self, isolate: bool) -> Builder {
         self.setting.isolate_suspects = isolate;
         self
     }
 
-    /// The gate for use under tokio.
+    /// Builds the gate for use under tokio.
     pub fn build(self) -> Gate {
         Gate::new(self.core(Instant::now()))
     }
 
-    /// The bare decisions, for a caller that keeps its own clock.
+    /// Builds only the core, for a caller that supplies its own clock.
     pub fn core(self, now: Instant) -> Core {
         Core::new(self.setting, now)
     }
--- a/crates/gate/src/request.rs
+++ b/crates/gate/src/request.rs
@@ -1,4 +1,4 @@
-//! What a gate is asked to let through, and how it ended.
+//! Requests for a slot, and how their runs end.
 
 use std::time::Duration;
 
@@ -6,36 +6,39 @@
 use tokio::time::Instant;
 use unit::{Caller, Digest, Token, Urgency};
 
-/// One try of one request, as it asks for a slot.
+/// One attempt of a request, as it asks for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Names this try; the gate runs it at most once.
+    /// Identifies this attempt; the gate runs it at most once.
     pub token: Token,
-    /// Which queue it waits in.
+    /// The queue in which it waits.
     pub urgency: Urgency,
-    /// Whose share of that queue it uses.
+    /// The caller whose share of that queue it uses.
     pub caller: Caller,
-    /// The share of the caller's member against other members; 0 counts as 1.
+    /// The weight of the caller's member relative to other members; 0 counts as 1.
     pub weight: u32,
-    /// When the answer is of no more use.
+    /// When the answer becomes useless.
     pub deadline: Instant,
-    /// Fingerprint of method, path and the head of the body, by which suspects are known.
+    /// Fingerprint of the method, the path and the start of the body, by which suspects are
+    /// recognised.
     pub kind: Digest,
-    /// Another request waits for this one while it holds a slot, here or elsewhere.
+    /// Whether another request holds a slot, here or elsewhere, while it waits for this one.
     ///
-    /// Such a request may start in any of the configured slots, also beyond the limit and in the
-    /// room kept for urgent work. It would else wait behind the very request that waits for it,
-    /// until the deadline of both: with a limit of 3, three levels were enough.
+    /// Such a request may start in any of the configured slots, even beyond the limit and in the
+    /// slots reserved for urgent requests. Otherwise it would wait behind the very request that
+    /// waits for it, until both deadlines pass; with a limit of 3, three levels of nesting were
+    /// enough for that.
     pub nested: bool,
-    /// When the answer is worth little; the request is then not let in to wait past it.
+    /// When the answer loses most of its value. A request that is expected to end later is admitted
+    /// only if it can start at once.
     pub goal: Option<Instant>,
-    /// The kind of work, for estimates of how long it runs; 0 where nothing is known of it.
+    /// The class of work, for run-time estimates; 0 if unknown.
     pub class: u32,
-    /// Its entry knew of another target that was not slow when it sent the request here.
+    /// Whether its entry knew another target that was not slow when it sent the request here.
     pub elsewhere: bool,
 }
 
-/// Names an offered request inside one [`Core`](crate::Core); never used twice.
+/// Identifies an offered request within one [`Core`](crate::Core); never reused.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, derive_more::Display,
 )]
@@ -46,26 +49,27 @@
 pub enum End {
     /// The target answered in full.
     Answered {
-        /// From dispatch to the end of the answer.
+        /// Time from dispatch to the end of the answer.
         latency: Duration,
     },
-    /// The target answered with an error of its own, or its answer broke off.
+    /// The target answered with an error of its own, or its answer was cut off.
     Failed {
-        /// From dispatch to the failure.
+        /// Time from dispatch to the failure.
         latency: Duration,
     },
-    /// The target itself refused to run it: 503 with `Retry-After`, or an explicit mark.
+    /// The target refused to run the request, with status 503 and `Retry-After` or with an explicit
+    /// header.
     Shed {
-        /// When the target wants to be asked again, if it said so.
+        /// The delay after which the target asked to be retried, if it gave one.
         retry_after: Option<Duration>,
     },
-    /// The target says that it did not run this one request; others may be welcome.
+    /// The target reports that it did not run this request; other requests may be accepted.
     Declined,
-    /// Its caller went away while it ran.
+    /// The caller disconnected while the request ran.
     Cancelled,
-    /// The connection to the target died while it ran.
+    /// The connection to the target was lost while the request ran.
     ///
-    /// When the target itself is gone, call [`Core::target_down`](crate::Core::target_down)
-    /// first: else each freed slot lets the next waiting request start towards a dead target.
+    /// If the target itself is gone, call [`Core::target_down`](crate::Core::target_down) first.
+    /// Otherwise each freed slot lets the next waiting request start at a dead target.
     Crashed,
 }
--- a/crates/gate/src/token.rs
+++ b/crates/gate/src/token.rs
@@ -1,8 +1,8 @@
 //! The tokens that a gate has seen: each runs at most once, and a fenced one never.
 //!
-//! A token is remembered until its deadline and its end have both passed by the grace. That is
-//! enough: a request past its deadline is refused anyway, a frame dies with its link within the
-//! grace, and [`Table::fence`] promises nothing for a deadline that is further past.
+//! A token is remembered until the grace period after both its deadline and its end. That is long
+//! enough: a request past its deadline is refused anyway, a frame is lost with its link within the
+//! grace period, and [`Table::fence`] promises nothing for older deadlines.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -11,42 +11,42 @@
 use tokio::time::Instant;
 use unit::Token;
 
-/// What a gate knows of a token.
+/// What a gate knows about a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Status {
-    /// Never seen, refused, or forgotten. Only a [`Fence`] makes "not run" of it.
+    /// Never seen, refused or forgotten. Only a [`Fence`] turns this into "not run".
     #[display("unknown")]
     Unknown,
-    /// It waits for a slot.
+    /// Waits for a slot.
     #[display("queued")]
     Queued,
-    /// It holds a slot and has or may have been dispatched.
+    /// Holds a slot; it may have been dispatched.
     #[display("running")]
     Running,
-    /// It ran here and has ended.
+    /// Has run here and ended.
     #[display("done")]
     Done,
 }
 
-/// What came of the wish that a token never run here.
+/// The result of an attempt to keep a token from running here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fence {
-    /// It has not run here and never will.
+    /// The token has not run here and never will.
     #[display("fenced")]
     Fenced,
-    /// It waited and was taken out; it has not run here and never will.
+    /// The token was removed from the queue; it has not run here and never will.
     #[display("cancelled")]
     Cancelled,
-    /// Too late: it runs.
+    /// Too late: the token is running.
     #[display("running")]
     Running,
-    /// Too late: it has run.
+    /// Too late: the token has run.
     #[display("done")]
     Done,
-    /// The gate can't promise anything: the deadline is too long past to remember the token, or
-    /// there is no room for another fence.
+    /// The gate cannot promise anything: the deadline passed too long ago for the token to be
+    /// remembered, or there is no room for another fence.
     #[display("unsure")]
     Unsure,
 }
@@ -57,7 +57,7 @@
     Running,
     Done,
     Fenced,
-    /// Refused, cancelled or given back undispatched.
+    /// Refused, cancelled, or released without dispatch.
     Refused,
 }
 
@@ -65,16 +65,17 @@
 struct Entry {
     state: State,
     deadline: Instant,
-    /// Set once nothing more happens to the token.
+    /// When the entry expires; set once nothing more happens to the token.
     until: Option<Instant>,
 }
 
-/// The tokens seen.
+/// The table of known tokens.
 ///
-/// At the bound, new requests are refused and nothing is forgotten: a forgotten `Done` or fence
-/// would let the entry call a request "not run" that ran, or let a late frame run one that was
-/// called so. Only refused tokens may be forgotten early, oldest first, as an entry never sends
-/// one token twice; they have a quarter of the bound on top for themselves.
+/// When it is full, new requests are refused and nothing is forgotten: if a `Done` token or a fence
+/// were forgotten, the entry could report a request that ran as "not run", or a late frame could
+/// run a request reported as not run. Only refused tokens may be forgotten early, oldest first,
+/// because an entry never sends a token twice. They have a quarter of the bound for themselves, in
+/// addition to it.
 #[derive(Debug)]
 pub(crate) struct Table {
     bound: usize,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Whether a new token may be let in; the last quarter is room for fences.
+    /// Whether a new token may be admitted; the last quarter is reserved for fences.
     pub(crate) fn has_room(&self) -> bool {
         self.kept < self.bound - self.bound / 4
     }
@@ -144,7 +145,7 @@
         self.put(token, State::Done, deadline, Some(until));
     }
 
-    /// Notes a token that did not run; a second frame with it is refused.
+    /// Records a token that did not run; a second frame with it is refused.
     pub(crate) fn refuse(&mut self, token: Token, deadline: Instant) {
         let until = deadline + self.grace;
         self.put(token, State::Refused, deadline, Some(until));
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Fences a token that is not queued; the queued one must be taken out first.
+    /// Fences a token that is not queued; a queued one must be removed from the queue first.
     pub(crate) fn fence(&mut self, now: Instant, token: Token, deadline: Instant) -> Fence {
         match self.state(token) {
             Some(State::Running) => return Fence::Running,
--- a/crates/gate/src/verdict.rs
+++ b/crates/gate/src/verdict.rs
@@ -1,23 +1,23 @@
-//! What a gate decides for a request.
+//! The decisions of a gate on a request.
 
 use crate::refusal::Refusal;
 use crate::request::Id;
 
-/// What comes of an offer at once.
+/// The immediate decision on an offered request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// It holds a slot; dispatch it, or give the slot back.
+    /// It holds a slot, which must be dispatched or released.
     Start(Id),
-    /// It waits; [`Core::poll`](crate::Core::poll) will say how it goes on.
+    /// It waits; [`Core::poll`](crate::Core::poll) returns the decision later.
     Wait(Id),
     /// It does not run here.
     Refuse(Refusal),
 }
 
-/// What becomes of a request that waited.
+/// The decision on a request that waited.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// It holds a slot now.
+    /// It now holds a slot.
     Start {
         /// The request.
         id: Id,
@@ -26,7 +26,7 @@
     Refuse {
         /// The request.
         id: Id,
-        /// Why.
+        /// The refusal with its cause.
         refusal: Refusal,
     },
 }
