--- a/crates/gate/src/shell.rs
+++ b/crates/gate/src/shell.rs
@@ -1,4 +1,4 @@
-//! The gate under tokio: permits that are awaited, and guards that give slots back.
+//! The gate under tokio: awaitable permits, and guards that release slots when dropped.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,10 +20,11 @@
 use crate::token::{Fence, Status};
 use crate::verdict::{Event, Verdict};
 
-/// The only way to a target; clones are the same gate.
+/// Admits requests to one target. Clones share the same gate.
 ///
-/// One lock guards the whole state: each decision needs the exact count of what runs and waits,
-/// so shards would have to be locked together. The shard is the gate itself, one for a target.
+/// One lock guards the whole state: each decision needs the exact number of running and waiting
+/// requests, so shards would have to be locked together. The unit of sharding is the gate, one
+/// per target.
 #[derive(Debug, Clone)]
 pub struct Gate {
     inner: Arc<Inner>,
@@ -35,16 +36,16 @@
     hot: watch::Sender<bool>,
     condition: watch::Sender<Condition>,
     running: watch::Sender<usize>,
-    /// Tells the clock task that the next timer may have changed.
+    /// Wakes the timer task when the next timer may have changed.
     changed: Arc<Notify>,
 }
 
-/// What entries should hear of as soon as it changes, and not with the next answer.
+/// State that entries are notified of as soon as it changes, rather than with the next answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Condition {
-    /// The target takes no work.
+    /// The target accepts no work.
     pub closed: bool,
-    /// Work takes much longer than usual at the target at this moment.
+    /// Runs at the target currently take much longer than usual.
     pub slow: bool,
 }
 
@@ -52,28 +53,28 @@
 struct State {
     core: Core,
     waiters: HashMap<Id, oneshot::Sender<Result<Permit, Refusal>>>,
-    clock: Option<AbortHandle>,
-    /// When the clock task wakes by itself.
+    timer_task: Option<AbortHandle>,
+    /// When the timer task is due to wake.
     armed: Option<Instant>,
 }
 
 impl Drop for Inner {
     fn drop(&mut self) {
-        if let Some(clock) = self.state.get_mut().clock.take() {
-            clock.abort();
+        if let Some(timer_task) = self.state.get_mut().timer_task.take() {
+            timer_task.abort();
         }
     }
 }
 
-/// An answer to a waiting request, to be sent without the lock: a permit whose waiter has gone
-/// away is dropped by the send, and takes the lock itself.
-struct Answer {
+/// The result for a waiting request, to be sent after the lock is released: if the waiter is gone,
+/// the send drops the permit, and dropping it takes the lock.
+struct Reply {
     waiter: oneshot::Sender<Result<Permit, Refusal>>,
     result: Result<Permit, Refusal>,
 }
 
 impl Inner {
-    /// Changes the core, then tells waiters and watchers what came of it.
+    /// Changes the core, then notifies the waiters and watchers affected.
     fn with<T>(self: &Arc<Self>, change: impl FnOnce(&mut Core, Instant) -> T) -> T {
         self.with_state(|state, now| change(&mut state.core, now))
     }
@@ -82,23 +83,23 @@
         let mut state = self.state.lock();
         let now = Instant::now();
         let value = change(&mut state, now);
-        let answers = self.answers(&mut state, now);
+        let replies = self.replies(&mut state, now);
         self.publish(&state.core, now);
-        self.wind(&mut state, now);
+        self.schedule_timer(&mut state, now);
         drop(state);
-        for answer in answers {
-            // A waiter that has gone away gets nothing; its permit is dropped here.
-            drop(answer.waiter.send(answer.result));
+        for reply in replies {
+            // If the waiter is gone, the permit is dropped here and its slot released.
+            drop(reply.waiter.send(reply.result));
         }
         value
     }
 
-    /// Has the core decide on a request, and waits if it says so.
-    async fn settle(
+    /// Has the core decide on a request, and waits for its turn if it is queued.
+    async fn resolve(
         self: &Arc<Self>,
         decide: impl FnOnce(&mut Core, Instant) -> Verdict,
     ) -> Result<Permit, Refusal> {
-        let (waiter, answer) = oneshot::channel();
+        let (waiter, reply) = oneshot::channel();
         let verdict = self.with_state(|state, now| {
             let verdict = decide(&mut state.core, now);
             if let Verdict::Wait(id) = verdict {
@@ -111,17 +112,17 @@
             Verdict::Refuse(refusal) => Err(refusal),
             Verdict::Wait(id) => {
                 let inner = self.clone();
-                let place = Place { inner, id };
-                let result = answer.await;
-                drop(place);
-                result.expect("the gate answers each waiter before it forgets it")
+                let guard = QueueGuard { inner, id };
+                let result = reply.await;
+                drop(guard);
+                result.expect("every waiter is notified before it is removed")
             }
         }
     }
 
-    fn answers(self: &Arc<Self>, state: &mut State, now: Instant) -> Vec<Answer> {
+    fn replies(self: &Arc<Self>, state: &mut State, now: Instant) -> Vec<Reply> {
         let events = state.core.poll(now);
-        let mut answers = Vec::with_capacity(events.len());
+        let mut replies = Vec::with_capacity(events.len());
         for event in events {
             let (id, refusal) = match event {
                 Event::Start { id } => (id, None),
@@ -134,9 +135,9 @@
                 Some(refusal) => Err(refusal),
                 None => Ok(self.permit(id)),
             };
-            answers.push(Answer { waiter, result });
+            replies.push(Reply { waiter, result });
         }
-        answers
+        replies
     }
 
     fn permit(self: &Arc<Self>, id: Id) -> Permit {
@@ -160,26 +161,30 @@
             .send_if_modified(|old| std::mem::replace(old, running) != running);
     }
 
-    /// Makes sure that the clock task wakes at the core's next timer.
+    /// Ensures that the timer task wakes at the core's next timer.
     ///
-    /// The first timer comes from a wait or an end under tokio; a guard that is dropped after
-    /// its runtime has gone has no one left to wake.
-    fn wind(self: &Arc<Self>, state: &mut State, now: Instant) {
+    /// The task is spawned by the first wait or end under tokio. A guard that is dropped after the
+    /// runtime has shut down has no task left to wake.
+    fn schedule_timer(self: &Arc<Self>, state: &mut State, now: Instant) {
         let Some(at) = state.core.next_timer(now) else {
             return;
         };
-        if state.clock.as_ref().is_none_or(AbortHandle::is_finished) {
+        if state
+            .timer_task
+            .as_ref()
+            .is_none_or(AbortHandle::is_finished)
+        {
             let Ok(runtime) = Handle::try_current() else {
                 return;
             };
-            let task = keep_time(Arc::downgrade(self), self.changed.clone());
-            state.clock = Some(runtime.spawn(task).abort_handle());
+            let task = run_timers(Arc::downgrade(self), self.changed.clone());
+            state.timer_task = Some(runtime.spawn(task).abort_handle());
         } else if state.armed.is_none_or(|armed| at < armed) {
             self.changed.notify_one();
         }
     }
 
-    /// The core's next timer, for the clock task to sleep until.
+    /// Returns the core's next timer, for the timer task to sleep until.
     fn arm(&self) -> Option<Instant> {
         let mut state = self.state.lock();
         state.armed = state.core.next_timer(Instant::now());
@@ -187,8 +192,8 @@
     }
 }
 
-/// Polls the core at its timers, until the last gate is dropped and aborts it.
-async fn keep_time(inner: std::sync::Weak<Inner>, changed: Arc<Notify>) {
+/// Polls the core at its timers, until the last gate is dropped and aborts the task.
+async fn run_timers(inner: std::sync::Weak<Inner>, changed: Arc<Notify>) {
     loop {
         let Some(timer) = inner.upgrade().map(|inner| inner.arm()) else {
             return;
@@ -208,7 +213,7 @@
 }
 
 impl Gate {
-    /// Settings for a gate before a target that runs `slots` requests at once.
+    /// Returns a builder for a gate whose target runs up to `slots` requests at once.
     pub fn builder(slots: u16) -> Builder {
         Builder::new(slots)
     }
@@ -217,7 +222,7 @@
         let state = State {
             core,
             waiters: HashMap::new(),
-            clock: None,
+            timer_task: None,
             armed: None,
         };
         let inner = Inner {
@@ -232,45 +237,46 @@
         }
     }
 
-    /// Waits for a slot. Dropping the future takes the request out of the queue.
+    /// Waits for a slot. Dropping the future removes the request from the queue.
     ///
     /// # Errors
     ///
-    /// The [`Refusal`] says why the request does not run here, and is the proof that it has not
-    /// been sent.
+    /// Returns a [`Refusal`] if the request does not run here. It gives the cause and proves that
+    /// the request was not sent.
     pub async fn admit(&self, request: Request) -> Result<Permit, Refusal> {
         self.inner
-            .settle(|core, now| core.offer(now, request))
+            .resolve(|core, now| core.offer(now, request))
             .await
     }
 
-    /// The load of this gate now.
+    /// Returns the current load of this gate.
     pub fn report(&self) -> Report {
         self.inner.state.lock().core.report(Instant::now())
     }
 
-    /// Tells each change between hot (true) and cold.
+    /// Subscribes to changes of the hot state; see [`Core::hot`].
     pub fn hot(&self) -> watch::Receiver<bool> {
         self.inner.hot.subscribe()
     }
 
-    /// Tells each change that entries should hear of at once.
+    /// Subscribes to changes that entries should be notified of at once.
     pub fn condition(&self) -> watch::Receiver<Condition> {
         self.inner.condition.subscribe()
     }
 
-    /// What the gate knows of a token.
+    /// Returns what the gate knows about a token.
     pub fn status(&self, token: Token) -> Status {
         self.inner.with(|core, now| core.status(now, token))
     }
 
-    /// Makes sure that a token never runs here, if it has not begun to; see [`Core::fence`].
+    /// Ensures that a token never runs here, unless it is already running or has run; see
+    /// [`Core::fence`].
     pub fn fence(&self, token: Token, deadline: Instant) -> Fence {
         self.inner
             .with(|core, now| core.fence(now, token, deadline))
     }
 
-    /// Refuses what waits and what comes from now on; what runs may end.
+    /// Refuses waiting and new requests from now on; running ones may finish.
     pub fn leave(&self) {
         self.inner.with(Core::leave);
     }
@@ -278,69 +284,70 @@
     /// Resolves once no request holds a slot.
     pub async fn idle(&self) {
         let mut running = self.inner.running.subscribe();
-        // The sender lives as long as this gate, so that the wait can't fail.
+        // The sender lives as long as this gate, so the wait cannot fail.
         drop(running.wait_for(|count| *count == 0).await);
     }
 
-    /// Refuses what waits and what comes until [`Gate::target_up`].
+    /// Refuses waiting and new requests until [`Gate::target_up`].
     pub fn target_down(&self) {
         self.inner.with(Core::target_down);
     }
 
-    /// Lets requests in again, few at first.
+    /// Admits requests again, few at first.
     pub fn target_up(&self) {
         self.inner.with(Core::target_up);
     }
 
-    /// The target is there, with so many slots; see [`Core::target_ready`].
+    /// Marks the target as accepting work with this many slots; see [`Core::target_ready`].
     pub fn target_ready(&self, slots: u16) {
         self.inner.with(|core, now| core.target_ready(now, slots));
     }
 
-    /// The target has just started; see [`Core::target_cold`].
+    /// Records that the target has just started; see [`Core::target_cold`].
     pub fn target_cold(&self) {
         self.inner.with(|core, _| core.target_cold());
     }
 
-    /// The target has started anew; see [`Core::target_restarted`].
+    /// Records that the target has restarted; see [`Core::target_restarted`].
     pub fn target_restarted(&self) {
         self.inner.with(Core::target_restarted);
     }
 
-    /// The target tells how long work takes at it now; see [`Core::set_pace`].
+    /// Updates the target's reported pace, in hundredths; see [`Core::set_pace`].
     pub fn set_pace(&self, pace: u16) {
         self.inner.with(|core, now| core.set_pace(now, pace));
     }
 
-    /// Requests that the target runs at once at most.
+    /// Returns the maximum number of requests that the target runs at once.
     pub fn slots(&self) -> u16 {
         let slots = self.inner.state.lock().core.limit.slots();
         u16::try_from(slots).unwrap_or(u16::MAX)
     }
 
-    /// What is held against kinds of requests here; for other gates, send those not `learnt`.
+    /// Lists the kinds of requests that are suspected or convicted here. Only those that are not
+    /// `learnt` are meant to be sent to other gates.
     pub fn suspects(&self) -> Vec<Suspicion> {
         self.inner.state.lock().core.suspects(Instant::now())
     }
 
-    /// Takes a suspicion that another gate has found.
+    /// Adopts a suspicion reported by another gate.
     pub fn learn(&self, suspicion: &Suspicion) {
         self.inner.with(|core, now| core.learn(now, suspicion));
     }
 
-    /// The state of this gate.
+    /// Returns a snapshot of this gate's state.
     pub fn dump(&self) -> Dump {
         self.inner.state.lock().core.dump(Instant::now())
     }
 }
 
-/// A place in the queue; leaving it early cancels the request.
-struct Place {
+/// A waiting request; dropping it before its turn cancels the request.
+struct QueueGuard {
     inner: Arc<Inner>,
     id: Id,
 }
 
-impl Drop for Place {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
         self.inner.with_state(|state, now| {
             if state.waiters.remove(&self.id).is_some() {
@@ -350,14 +357,14 @@
     }
 }
 
-/// A slot held; dropping it gives the slot back.
+/// A held slot; dropping it releases the slot.
 #[derive(Debug)]
 struct Slot {
     inner: Arc<Inner>,
     id: Id,
 }
 
-/// Leave to dispatch one request; dropping it gives the slot back, and the request has not run.
+/// Permission to dispatch one request. Dropping it releases the slot, and the request has not run.
 #[derive(Debug)]
 #[must_use]
 pub struct Permit {
@@ -366,7 +373,7 @@
 
 /// A dispatched request; dropping it without [`Running::finish`] counts as a failed run.
 ///
-/// It can't be refused any more: the target may have seen it.
+/// It can no longer be refused, since the target may have seen it.
 #[derive(Debug)]
 #[must_use]
 pub struct Running {
@@ -375,7 +382,7 @@
 }
 
 impl Permit {
-    /// The request leaves for the target now; from here on it may have run.
+    /// Marks the request as sent to the target; from here on it may have run.
     pub fn dispatch(mut self) -> Running {
         let slot = self.slot.take();
         let since = Instant::now();
@@ -385,7 +392,8 @@
         Running { slot, since }
     }
 
-    /// Whether the target should tell its pace before the request leaves; see [`Core::needs_pace_probe`].
+    /// Whether the target should be probed for its pace before the request is sent; see
+    /// [`Core::needs_pace_probe`].
     pub fn needs_pace_probe(&self) -> bool {
         let Some(slot) = &self.slot else {
             return false;
@@ -394,12 +402,12 @@
         state.core.needs_pace_probe(Instant::now(), slot.id)
     }
 
-    /// Looks once more whether the request should start now, and waits again if not; see
+    /// Checks again whether the request should start now, and waits again if not; see
     /// [`Core::reconsider`].
     ///
     /// # Errors
     ///
-    /// As [`Gate::admit`].
+    /// Same as [`Gate::admit`].
     pub async fn reconsider(mut self) -> Result<Permit, Refusal> {
         let slot = self
             .slot
@@ -407,11 +415,11 @@
             .expect("a permit holds its slot until it is consumed");
         let id = slot.id;
         slot.inner
-            .settle(|core, now| core.reconsider(now, id))
+            .resolve(|core, now| core.reconsider(now, id))
             .await
     }
 
-    /// Gives the slot back undispatched, with the proof of it.
+    /// Releases the slot without dispatch and returns the proof of it.
     pub fn refuse(mut self, cause: Cause) -> Refusal {
         let slot = self
             .slot
@@ -434,12 +442,12 @@
 }
 
 impl Running {
-    /// The request has ended; its slot is free.
+    /// Ends the request and frees its slot.
     pub fn finish(mut self, end: End) {
         self.end(end);
     }
 
-    /// Tells how much work the run was for the target; see [`Core::record_work`].
+    /// Records the work that the run caused at the target; see [`Core::record_work`].
     pub fn record_work(&self, work: Duration) {
         if let Some(slot) = &self.slot {
             slot.inner
