--- a/crates/gate/src/core.rs
+++ b/crates/gate/src/core.rs
@@ -290,7 +290,7 @@
         }
         held.dispatched = true;
         held.among = among;
-        held.pace = self.pace.told();
+        held.pace = self.pace.current();
         self.ages.remove(&(held.since, id));
         held.since = now;
         self.ages.insert((now, id));
@@ -360,7 +360,7 @@
 
     /// The target has started a moment ago, and is slower than usual for a while.
     pub fn target_cold(&mut self) {
-        self.pace.chill();
+        self.pace.reset_cold();
     }
 
     /// The target has started anew: what was learnt of its speed and its slots is of the start before.
@@ -392,8 +392,8 @@
 
     /// The target tells how long work takes at it now, in hundredths of what it usually takes.
     pub fn set_pace(&mut self, now: Instant, pace: u16) {
-        if self.pace.tell(now, pace) {
-            self.hand_back(now);
+        if self.pace.update(now, pace) {
+            self.refuse_delayed(now);
         }
         self.advance(now);
     }
--- a/crates/gate/src/forecast.rs
+++ b/crates/gate/src/forecast.rs
@@ -49,7 +49,7 @@
             let met = free || now + wait + run <= goal;
             return (!met).then(|| blame(Cause::Full));
         }
-        let wait = wait + self.spell_left(now, request);
+        let wait = wait + self.slowdown_left(now, request);
         if wait > self.setting.wait {
             return Some(blame(Cause::Full));
         }
@@ -75,7 +75,7 @@
 
     /// As [`Core::wait`], with the rest of a slow spell.
     fn whole_wait(&self, now: Instant, request: &Request) -> Duration {
-        self.wait(now, request) + self.spell_left(now, request)
+        self.wait(now, request) + self.slowdown_left(now, request)
     }
 
     /// As [`Core::wait`] for a request that another waits for: it is the next to start, in any slot, behind
@@ -129,7 +129,7 @@
     /// Service time over all; when the running requests look stuck, their age, as the target has
     /// slowed down though no answer has said so yet.
     pub(crate) fn service_now(&self, now: Instant) -> Duration {
-        let mean = self.pace.between_spells(now, self.latency.mean());
+        let mean = self.pace.between_slowdowns(now, self.latency.mean());
         let mean = match self.latency.is_learnt() {
             true => mean,
             false => self.held_time(now).unwrap_or(mean),
@@ -287,7 +287,7 @@
             limit: narrow(self.limit.now()),
             service_us: u32::try_from(service).unwrap_or(u32::MAX),
             answered: self.answered,
-            pace: self.pace.told(),
+            pace: self.pace.current(),
             slow: self.pace.is_slow(now),
             closed: self.down || self.leaving,
             hot: self.hot,
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -1,9 +1,9 @@
-//! The only way to a target: slots, queues, fairness, deadlines, tokens, suspects.
+//! Admission control for one target: slots, queues, fairness, deadlines, tokens and suspects.
 //!
-//! All work for a target passes its gate, so the gate's count of running and waiting requests is
-//! exact. [`Core`] holds the decisions, without clock, lock or task; [`Gate`] is the same under
-//! tokio, with a [`Permit`] that is awaited and guards that give slots back when dropped. The
-//! crate does no I/O.
+//! All requests to a target pass through its gate, so the gate's count of running and waiting
+//! requests is exact. [`Core`] implements the decisions without clocks, locks or tasks. [`Gate`]
+//! wraps it for tokio, with a [`Permit`] that is awaited and guards that release slots when
+//! dropped. The crate does no I/O.
 //!
 //! ```
 //! use std::time::Duration;
@@ -29,7 +29,7 @@
 //! };
 //! let permit = gate.admit(request).await?;
 //! let running = permit.dispatch();
-//! // The target is asked here.
+//! // Send the request to the target here.
 //! let latency = running.since().elapsed();
 //! running.finish(End::Answered { latency });
 //! assert_eq!(gate.report().running, 0);
@@ -42,6 +42,7 @@
 mod dump;
 mod ending;
 mod forecast;
+mod history;
 mod knee;
 mod lane;
 mod latency;
@@ -52,10 +53,9 @@
 mod request;
 mod schedule;
 mod shell;
-mod spell;
+mod slowdown;
 mod suspect;
 mod token;
-mod turns;
 mod verdict;
 
 pub use builder::Builder;
--- a/crates/gate/src/schedule.rs
+++ b/crates/gate/src/schedule.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Whether a waiting request is worth starting now; see [`crate::spell`].
+    /// Whether a waiting request is worth starting now; see [`crate::slowdown`].
     fn may_start(&self, now: Instant, id: Id) -> bool {
         let request = self.waiting.get(&id);
         request.is_none_or(|request| self.is_worth_starting(now, request))
@@ -149,7 +149,7 @@
     }
 
     fn start_other(&mut self, now: Instant) -> bool {
-        if self.pace.is_in_spell(now) {
+        if self.pace.is_transiently_slow(now) {
             return self.start_short(now);
         }
         let Some(rank) = self.next_rank(now) else {
@@ -181,7 +181,7 @@
         let Some(request) = self.waiting.get(&id) else {
             return false;
         };
-        let run = self.run_between_spells(now, request);
+        let run = self.run_between_slowdowns(now, request);
         request.goal.is_some_and(|goal| now + run > goal)
     }
 
@@ -320,7 +320,7 @@
             let slack = (earliest - now) + scant;
             Some(deadline.checked_sub(slack).unwrap_or(now).max(now))
         });
-        let spell = self.pace.spell_ends().filter(|end| *end > now);
+        let spell = self.pace.slowdown_cutoff().filter(|end| *end > now);
         let others = [
             self.pause,
             spell,
