--- a/crates/gate/src/core.rs
+++ b/crates/gate/src/core.rs
@@ -10,7 +10,7 @@
 use crate::knee::Knee;
 use crate::lane::Lane;
 use crate::latency::Latency;
-use crate::limit::{Limit, Turn};
+use crate::limit::{Limit, Seq};
 use crate::pace::Pace;
 use crate::quarantine::Quarantine;
 use crate::refusal::Refusal;
@@ -24,23 +24,23 @@
 pub(crate) struct Held {
     pub(crate) request: Request,
     pub(crate) since: Instant,
-    pub(crate) turn: Turn,
+    pub(crate) turn: Seq,
     pub(crate) dispatched: bool,
     /// The target's pace when it was dispatched, in hundredths; 0 where it doesn't tell.
     pub(crate) pace: u16,
     /// How many ran when it was dispatched, itself included.
-    pub(crate) among: usize,
+    pub(crate) concurrency: usize,
 }
 
 impl Held {
-    pub(crate) fn new(request: Request, since: Instant, turn: Turn) -> Held {
+    pub(crate) fn new(request: Request, since: Instant, turn: Seq) -> Held {
         Held {
             request,
             since,
             turn,
             dispatched: false,
             pace: 0,
-            among: 0,
+            concurrency: 0,
         }
     }
 }
@@ -114,7 +114,7 @@
     pub(crate) hot: bool,
     pub(crate) pace: Pace,
     pub(crate) answered: u32,
-    pub(crate) next_turn: Turn,
+    pub(crate) next_turn: Seq,
     pub(crate) events: Vec<Event>,
     next_id: u64,
 }
@@ -123,7 +123,7 @@
     pub(crate) fn new(setting: Setting, now: Instant) -> Core {
         let knee = Knee::new(now, usize::from(setting.slots));
         let mut limit = Limit::new(setting.law, setting.slots);
-        limit.settle(knee.best());
+        limit.follow_knee(knee.best());
         Core {
             limit,
             latency: Latency::default(),
@@ -165,7 +165,7 @@
         }
         if let Some(goal) = request.goal {
             let left = goal.saturating_duration_since(now);
-            self.latency.aim(request.class, left);
+            self.latency.record_goal(request.class, left);
         }
         if let Some(cause) = self.objection(now, &request) {
             return Verdict::Refuse(self.refuse_new(now, &request, cause));
@@ -272,7 +272,7 @@
     /// target made for it.
     pub fn record_work(&mut self, now: Instant, id: Id, work: Duration) {
         if let Some(held) = self.held.get(&id) {
-            let run = (held.request.class, held.among, held.pace);
+            let run = (held.request.class, held.concurrency, held.pace);
             self.watch_knee(now, run, work);
         }
     }
@@ -281,7 +281,7 @@
     ///
     /// False when the id holds no slot, or was dispatched before.
     pub fn dispatch(&mut self, now: Instant, id: Id) -> bool {
-        let among = self.held.len();
+        let concurrency = self.held.len();
         let Some(held) = self.held.get_mut(&id) else {
             return false;
         };
@@ -289,7 +289,7 @@
             return false;
         }
         held.dispatched = true;
-        held.among = among;
+        held.concurrency = concurrency;
         held.pace = self.pace.current();
         self.ages.remove(&(held.since, id));
         held.since = now;
@@ -353,7 +353,7 @@
     /// The target can be reached again; it gets its share back by answers given.
     pub fn target_up(&mut self, now: Instant) {
         if std::mem::take(&mut self.down) {
-            self.limit.chill();
+            self.limit.reset_cold();
             self.advance(now);
         }
     }
@@ -370,8 +370,8 @@
     pub fn target_restarted(&mut self, now: Instant) {
         self.answered = 0;
         self.knee = Knee::new(now, self.limit.slots());
-        self.limit.chill();
-        self.limit.settle(self.knee.best());
+        self.limit.reset_cold();
+        self.limit.follow_knee(self.knee.best());
         self.pause = None;
         self.advance(now);
     }
@@ -383,9 +383,9 @@
             self.knee = Knee::new(now, usize::from(slots.max(1)));
         }
         self.limit.resize(slots);
-        self.limit.settle(self.knee.best());
+        self.limit.follow_knee(self.knee.best());
         if std::mem::take(&mut self.down) {
-            self.limit.chill();
+            self.limit.reset_cold();
         }
         self.advance(now);
     }
--- a/crates/gate/src/ending.rs
+++ b/crates/gate/src/ending.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use crate::core::{Core, Held};
-use crate::limit::{self, Turn};
+use crate::limit::{self, Seq};
 use crate::pace;
 use crate::request::{End, Id};
 use crate::suspect;
@@ -80,33 +80,33 @@
         // such work usually takes.
         let latency = latency.div_f64(pace::factor(held.pace));
         let ratio = self.latency.sample(now, &held.request, latency);
-        self.limit.answer(ratio, held.turn, self.next_turn);
+        self.limit.record_answer(ratio, held.turn, self.next_turn);
         ratio
     }
 
     /// Learns from a run that began in no slow spell how much longer it took for the others that ran.
     pub(crate) fn watch_knee(&mut self, now: Instant, run: (u32, usize, u16), work: Duration) {
-        let (class, among, pace) = run;
+        let (class, concurrency, pace) = run;
         if self.pace.is_slow_at(now, pace) {
             return;
         }
         let work = work.div_f64(pace::factor(pace));
-        if self.knee.is_quiet(among) {
-            self.latency.sample_quiet(now, class, work);
+        if self.knee.is_uncontended(concurrency) {
+            self.latency.sample_uncontended(now, class, work);
         }
-        if let Some(usual) = self.latency.quiet(class) {
+        if let Some(usual) = self.latency.uncontended(class) {
             let ratio = work.as_secs_f64() / usual.as_secs_f64();
-            self.knee.sample(now, among, ratio);
-            self.limit.settle(self.knee.best());
+            self.knee.sample(now, concurrency, ratio);
+            self.limit.follow_knee(self.knee.best());
         }
     }
 
     /// Lets one more start when a quick answer comes to the newest run while the rest, from
     /// worse times, fill the limit.
-    fn pass_stragglers(&mut self, turn: Turn) {
+    fn pass_stragglers(&mut self, turn: Seq) {
         let newest = self.held.values().all(|other| other.turn < turn);
         if newest {
-            self.limit.lift(self.held.len() + 1);
+            self.limit.raise_to(self.held.len() + 1);
         }
     }
 
--- a/crates/gate/src/forecast.rs
+++ b/crates/gate/src/forecast.rs
@@ -130,7 +130,7 @@
     /// slowed down though no answer has said so yet.
     pub(crate) fn service_now(&self, now: Instant) -> Duration {
         let mean = self.pace.between_slowdowns(now, self.latency.mean());
-        let mean = match self.latency.is_learnt() {
+        let mean = match self.latency.has_converged() {
             true => mean,
             false => self.held_time(now).unwrap_or(mean),
         };
@@ -225,8 +225,8 @@
     /// Whether it is the turn of a start that tries slots of which nothing is known.
     fn explores(&self) -> bool {
         self.pressed >= EXPLORE
-            && self.limit.is_by_knee()
-            && self.knee.is_unknown(self.held.len() + 1)
+            && self.limit.follows_knee()
+            && self.knee.needs_samples(self.held.len() + 1)
     }
 
     /// When [`Core::poll`] may find the target stuck, or a probe due.
--- a/crates/gate/src/knee.rs
+++ b/crates/gate/src/knee.rs
@@ -1,45 +1,47 @@
-//! Finds how many requests a target runs at once before it slows down.
+//! Finds the number of concurrent runs above which a target slows down.
 //!
-//! Some targets take up to 1.7 times as long over what they start when most of their slots are in
-//! use. Filled to the last slot they get less done than with some slots left free: of 11 slots, 11
-//! runs at 1.65 times the time are 6.7 runs in the time of one, and 9 at the usual time are 9. How
-//! long runs take by the number beside which they start tells where that is.
+//! Some targets take up to 1.7 times as long for runs that start while most of their slots are in
+//! use, so they complete less work with every slot filled than with some left free. With 11 slots,
+//! 11 runs at 1.65 times the usual time complete as much as 6.7 runs at the usual time, while 9
+//! runs at the usual time complete 9. Run times recorded by the number of concurrent runs at
+//! dispatch show where that point is.
 
 use std::time::Duration;
 
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// Least weight of one run in the mean of its level; the first few count alike.
-const ALPHA: f64 = 0.01;
+/// Minimum weight of one run in the mean of its level; the first runs are weighted equally.
+const LEVEL_ALPHA: f64 = 0.01;
 /// Weight of one run in the drift.
 const DRIFT_ALPHA: f64 = 0.1;
-/// A target that takes so many times as long as it is known to is slow as a whole, which says
-/// nothing of its levels.
-const DRIFT: f64 = 1.5;
-/// Runs after which a level is believed. The times of single runs differ by a third.
-const TRUSTED: u32 = 24;
-/// Another limit must get so much more done than the present one. What differs less differs by
-/// chance.
-const GAIN: f64 = 1.06;
-/// Share of the slots up to which a target is taken to be as quick as it can be.
-const QUIET: f64 = 0.6;
-/// Share of the slots above which a target is taken to slow down before anything is known of it.
-const NEARLY_FULL: f64 = 0.8;
-/// How many times as long work is assumed to take above it, and for how many runs that counts. Between a
-/// target that doesn't slow down and one that takes 1.7 times as long: with that the last slots are
-/// not worth using, and some ten quick runs show that they are.
-const ASSUMED: f64 = 1.4;
+/// Drift above which the target counts as slow as a whole, which says nothing about its levels: new
+/// ratios are then divided by the drift.
+const DRIFT_LIMIT: f64 = 1.5;
+/// Number of runs after which the mean of a level is used. Times of single runs differ by a third.
+const TRUSTED_RUNS: u32 = 24;
+/// Minimum ratio of the throughput of a new limit to the present one; smaller differences are
+/// noise.
+const MIN_GAIN: f64 = 1.06;
+/// Share of the slots up to which the run time is assumed to be independent of the concurrency.
+const UNCONTENDED_SHARE: f64 = 0.6;
+/// Share of the slots above which a target is assumed to slow down until its runs show otherwise.
+const INITIAL_SHARE: f64 = 0.8;
+/// Assumed run time above [`INITIAL_SHARE`], relative to the usual one, and the number of runs that
+/// the assumption is weighted as. The value lies between a target that does not slow down and one
+/// that takes 1.7 times as long: with it, the last slots are not worth using, and about ten quick
+/// runs show that they are.
+const ASSUMED_RATIO: f64 = 1.4;
 const ASSUMED_RUNS: f64 = 4.0;
-/// A ratio beyond this counts for no more: one outlier must not shut slots.
+/// Upper bound of a single ratio, so that one outlier does not close slots.
 const RATIO_CAP: f64 = 4.0;
-/// What was found about slots that are kept free is forgotten after this long, and found anew.
-const FORGET: Duration = Duration::from_secs(60);
+/// Time after which the measurements of unused slots are discarded and taken anew.
+const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// What is known of runs that started beside so many others.
+/// The runs recorded at one level of concurrency.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 struct Level {
-    /// Mean of their times over the usual time of such work.
+    /// Mean ratio of the run time to the usual time of such work.
     ratio: f64,
     count: u32,
 }
@@ -50,14 +52,14 @@
     }
 }
 
-/// The number of runs at which a target gets most done.
+/// Tracks the number of concurrent runs with the highest throughput.
 #[derive(Debug, Clone)]
 pub(crate) struct Knee {
     levels: Vec<Level>,
-    /// Mean of the last times over what their levels are known to take.
+    /// Smoothed ratio of recent run times to the known run times of their levels.
     drift: f64,
     best: usize,
-    found: Instant,
+    best_since: Instant,
 }
 
 impl Knee {
@@ -65,76 +67,81 @@
         Knee {
             levels: vec![Level::default(); slots],
             drift: 1.0,
-            best: Knee::nearly_full(slots),
-            found: now,
+            best: Knee::initial_slots(slots),
+            best_since: now,
         }
     }
 
-    /// The slots that are used before anything is known of the rest.
+    /// Number of slots used before anything is known about the rest.
     ///
-    /// A gate sees few runs a second where the fleet is large, and would run its target over the knee
-    /// for a minute before it has found it: of the runs of a day at 195 targets a quarter to a third
-    /// were started beside five others or six and took 1.65 times as long.
+    /// A gate in a large fleet sees few runs per second and would exceed the knee for about a
+    /// minute before finding it: in one day at 195 targets, a quarter to a third of the runs
+    /// started beside five or six others and took 1.65 times as long.
     ///
-    /// Where a slot is a large part of all, as of two or six, it is worth using even if the target slows
-    /// down as is assumed.
-    fn nearly_full(slots: usize) -> usize {
-        let first = ((slots as f64 * NEARLY_FULL) as usize).max(1);
-        match first as f64 >= slots as f64 / ASSUMED {
+    /// If one slot is a large part of the total, as with two or six slots, it is worth using even
+    /// if the target slows down as assumed.
+    fn initial_slots(slots: usize) -> usize {
+        let first = ((slots as f64 * INITIAL_SHARE) as usize).max(1);
+        match first as f64 >= slots as f64 / ASSUMED_RATIO {
             true => first,
             false => slots,
         }
     }
 
-    /// Whether a run that started as the `among`th would tell what is not known.
-    pub(crate) fn is_unknown(&self, among: usize) -> bool {
-        let level = among.checked_sub(1).and_then(|at| self.levels.get(at));
-        among > self.best && level.is_some_and(|level| level.count < TRUSTED)
+    /// Whether a run at this concurrency would fill a gap in what is known above the current best.
+    pub(crate) fn needs_samples(&self, concurrency: usize) -> bool {
+        let level = concurrency
+            .checked_sub(1)
+            .and_then(|at| self.levels.get(at));
+        concurrency > self.best && level.is_some_and(|level| level.count < TRUSTED_RUNS)
     }
 
-    /// How many times as long work takes above the first `first` slots, by what all runs there have told
-    /// against what is assumed of them.
+    /// Run time above the first `first` slots, relative to the usual one: the mean of all runs
+    /// recorded there, combined with the assumed ratio.
     fn above(&self, first: usize) -> f64 {
         let levels = &self.levels[first..];
         let runs: u32 = levels.iter().map(|level| level.count).sum();
-        let told: f64 = levels.iter().map(Level::sum).sum();
-        (ASSUMED * ASSUMED_RUNS + told) / (ASSUMED_RUNS + f64::from(runs))
+        let observed: f64 = levels.iter().map(Level::sum).sum();
+        (ASSUMED_RATIO * ASSUMED_RUNS + observed) / (ASSUMED_RUNS + f64::from(runs))
     }
 
-    /// The slots that are worth using.
+    /// The number of concurrent runs with the highest throughput.
     pub(crate) fn best(&self) -> usize {
         self.best
     }
 
-    /// Whether a run that started as the `among`th tells the usual time of its work.
-    pub(crate) fn is_quiet(&self, among: usize) -> bool {
-        among as f64 <= (self.levels.len() as f64 * QUIET).max(1.0)
+    /// Whether a run at this concurrency shows the usual time of its work.
+    pub(crate) fn is_uncontended(&self, concurrency: usize) -> bool {
+        concurrency as f64 <= (self.levels.len() as f64 * UNCONTENDED_SHARE).max(1.0)
     }
 
-    /// A run that started as the `among`th took `ratio` times the usual time of its work.
-    pub(crate) fn sample(&mut self, now: Instant, among: usize, ratio: f64) {
-        let Some(level) = among.checked_sub(1).and_then(|at| self.levels.get_mut(at)) else {
+    /// Records a run that took `ratio` times the usual time of its work at this concurrency.
+    pub(crate) fn sample(&mut self, now: Instant, concurrency: usize, ratio: f64) {
+        let Some(level) = concurrency
+            .checked_sub(1)
+            .and_then(|at| self.levels.get_mut(at))
+        else {
             return;
         };
-        let known = match level.count >= TRUSTED {
+        let known = match level.count >= TRUSTED_RUNS {
             true => level.ratio.max(f64::MIN_POSITIVE),
             false => 1.0,
         };
         self.drift += ((ratio / known).min(RATIO_CAP) - self.drift) * DRIFT_ALPHA;
-        let ratio = match self.drift > DRIFT {
+        let ratio = match self.drift > DRIFT_LIMIT {
             true => ratio / self.drift,
             false => ratio,
         };
         level.count = level.count.saturating_add(1);
-        let weight = ALPHA.max(1.0 / f64::from(level.count));
+        let weight = LEVEL_ALPHA.max(1.0 / f64::from(level.count));
         level.ratio += (ratio.min(RATIO_CAP) - level.ratio) * weight;
         self.forget(now);
-        self.find(now);
+        self.update_best(now);
     }
 
     fn forget(&mut self, now: Instant) {
         let all = self.best == self.levels.len();
-        if all || now.saturating_duration_since(self.found) < FORGET {
+        if all || now.saturating_duration_since(self.best_since) < FORGET_AFTER {
             return;
         }
         for level in &mut self.levels[self.best..] {
@@ -142,37 +149,37 @@
         }
     }
 
-    /// Finds the number of runs that gets most done. A level of which little is known counts as the
-    /// next one below it, or as what all of the last ones together have shown against what is assumed
-    /// of them.
-    fn find(&mut self, now: Instant) {
+    /// Finds the number of concurrent runs with the highest throughput. A level with too few runs
+    /// takes the ratio of the next lower level, or above the initial slots the combined ratio if
+    /// that is higher.
+    fn update_best(&mut self, now: Instant) {
         let mut best = self.best;
         let mut most = 0.0;
         let mut ratio: f64 = 1.0;
-        let first = Knee::nearly_full(self.levels.len());
+        let first = Knee::initial_slots(self.levels.len());
         let above = self.above(first);
-        let mut done = Vec::with_capacity(self.levels.len());
+        let mut throughput = Vec::with_capacity(self.levels.len());
         for (at, level) in self.levels.iter().enumerate() {
-            if level.count >= TRUSTED {
+            if level.count >= TRUSTED_RUNS {
                 ratio = level.ratio.max(1.0);
             } else if at >= first {
                 ratio = ratio.max(above);
             }
-            done.push((at + 1) as f64 / ratio);
+            throughput.push((at + 1) as f64 / ratio);
         }
-        for (at, done) in done.iter().enumerate() {
-            if *done > most {
-                most = *done;
+        for (at, throughput) in throughput.iter().enumerate() {
+            if *throughput > most {
+                most = *throughput;
                 best = at + 1;
             }
         }
-        let present = done.get(self.best - 1).copied().unwrap_or(0.0);
-        if most < present * GAIN {
+        let present = throughput.get(self.best - 1).copied().unwrap_or(0.0);
+        if most < present * MIN_GAIN {
             return;
         }
         if best != self.best {
             self.best = best;
-            self.found = now;
+            self.best_since = now;
         }
     }
 }
--- a/crates/gate/src/latency.rs
+++ b/crates/gate/src/latency.rs
@@ -1,4 +1,4 @@
-//! Smoothed service times: how long an answer takes now, and how long it used to take.
+//! Smoothed service times: the present one and the usual one.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,48 +8,52 @@
 
 use crate::request::Request;
 
-/// Kinds of work that are told apart; those without fresh answers make room.
-const CLASSES: usize = 64;
+/// Maximum number of request classes tracked. Classes without recent answers are evicted.
+const MAX_CLASSES: usize = 64;
 /// Weight of one sample in the smoothed time.
 const ALPHA: f64 = 0.1;
-/// Shortest time that one mean of the usual service time covers.
-const SPAN: Duration = Duration::from_secs(1);
-/// Least answers in such a mean; fewer would make the least of the means low by chance.
-const ANSWERS: u32 = 128;
-/// Answers in the first mean, which is wanted soon.
-const FIRST_ANSWERS: u32 = 64;
-/// Service times below this, in seconds, count as equal: what differs there is the scheduling of
-/// processes, and no sign of a target in trouble.
-const LEAST: f64 = 0.001;
-/// Means remembered; the usual service time is the least of them.
-const MEANS: usize = 8;
-/// Answers after which anything is concluded from them.
-const TRUSTED: u32 = 8;
-/// Mean deviations of the service time that an expected wait must leave to the deadline, though
-/// no more than the wait itself.
+/// Minimum time covered by one mean of the usual service time.
+const MIN_WINDOW: Duration = Duration::from_secs(1);
+/// Minimum number of answers in one mean. With fewer, the minimum of the means would be low by
+/// chance.
+const WINDOW_ANSWERS: u32 = 128;
+/// Number of answers in the first mean, which is smaller so that a usual time is available early.
+const FIRST_WINDOW_ANSWERS: u32 = 64;
+/// Service times below this many seconds count as equal, because differences there come from
+/// process scheduling and not from an overloaded target.
+const MIN_SECONDS: f64 = 0.001;
+/// Number of means kept; the usual service time is the smallest of them.
+const MAX_MEANS: usize = 8;
+/// Number of answers after which an estimate is used.
+const TRUSTED_ANSWERS: u32 = 8;
+/// Mean deviations of the service time that must remain between the expected end of a request and
+/// its deadline, though never more than the expected wait.
 ///
-/// Admitted to the last moment, every request in an overload starts with just its service time
-/// left, and a third of them end too late: slots worked for nothing. A short wait is surer than
-/// a long one, and a short deadline on a target that is busy for a moment needs no such margin.
-const MARGIN: f64 = 4.0;
-/// Mean deviations above the mean that a waiting request must have left, else it is given up.
-const LATE: f64 = 1.5;
-/// Mean deviations that a request let in must have to spare before its goal. Let in to the last
-/// moment, half of them end too late.
-const SPREAD: f64 = 1.5;
-/// The part of its goal that a run takes, before runs of its class have told. A goal leaves room for some
-/// wait and for work that takes longer than most; of a third, one that starts in a spell of five times
-/// the usual misses it, and one at a target that is cold and half as quick does not.
-const GOAL_PART: u32 = 3;
-/// Age from which a smoothed time no longer refuses anything.
+/// Without a margin, every request in an overload starts with just its service time left, and a
+/// third of them finish too late, which wastes their slots. Short waits can be predicted better
+/// than long ones, and short deadlines at a briefly busy target need no such margin.
+const MARGIN_DEVIATIONS: f64 = 4.0;
+/// Mean deviations above the mean service time that a waiting request must have left; otherwise it
+/// is refused.
+const LATE_DEVIATIONS: f64 = 1.5;
+/// Mean deviations that an admitted request must have to spare before its goal. Without them, half
+/// of the requests admitted at the last moment finish too late.
+const SPREAD_DEVIATIONS: f64 = 1.5;
+/// Assumed run time of a class without recorded runs: its longest goal divided by this.
 ///
-/// An estimate that refuses all its requests is never corrected by an answer; without this the
-/// gate would stay shut after a slow-down has passed.
-const STALE: Duration = Duration::from_secs(1);
+/// A goal leaves room for some waiting and for longer than usual runs. With a third, a run that
+/// starts during a slowdown of factor five misses its goal, and one at a cold target of half the
+/// usual speed meets it.
+const GOAL_DIVISOR: u32 = 3;
+/// Age after which a smoothed time no longer causes refusals.
+///
+/// An estimate that refuses all requests is never corrected by an answer; without this the gate
+/// would stay closed after a slowdown has passed.
+const STALE_AFTER: Duration = Duration::from_secs(1);
 
-/// The mean of the answers of one stretch of time.
+/// The answers of one window of time.
 #[derive(Debug, Clone, Copy, Default)]
-struct Stretch {
+struct Window {
     sum: f64,
     count: u32,
     begin: Option<Instant>,
@@ -61,12 +65,12 @@
     deviation: f64,
     count: u32,
     last: Option<Instant>,
-    stretch: Stretch,
+    window: Window,
     means: VecDeque<f64>,
 }
 
 impl Estimate {
-    /// Takes a sample; returns its ratio to the usual service time before it.
+    /// Records a sample and returns its ratio to the usual service time before it.
     fn sample(&mut self, now: Instant, latency: Duration) -> f64 {
         let x = latency.as_secs_f64();
         if self.count == 0 {
@@ -78,89 +82,90 @@
         self.mean += ALPHA * (x - self.mean);
         self.count = self.count.saturating_add(1);
         self.last = Some(now);
-        self.extend(now, x);
-        x.max(LEAST) / usual.max(LEAST)
+        self.add_to_window(now, x);
+        x.max(MIN_SECONDS) / usual.max(MIN_SECONDS)
     }
 
-    /// The least of the last means; before the first, the mean so far.
+    /// The smallest of the recent means; before the first is complete, the mean so far.
     fn usual(&self) -> Option<f64> {
         if let Some(least) = self.means.iter().copied().reduce(f64::min) {
             return Some(least);
         }
-        (self.count >= TRUSTED).then(|| self.stretch.sum / f64::from(self.stretch.count))
+        (self.count >= TRUSTED_ANSWERS).then(|| self.window.sum / f64::from(self.window.count))
     }
 
-    fn extend(&mut self, now: Instant, x: f64) {
-        let begin = *self.stretch.begin.get_or_insert(now);
-        self.stretch.sum += x;
-        self.stretch.count += 1;
+    fn add_to_window(&mut self, now: Instant, x: f64) {
+        let begin = *self.window.begin.get_or_insert(now);
+        self.window.sum += x;
+        self.window.count += 1;
         let first = self.means.is_empty();
         let enough = match first {
-            true => self.stretch.count >= FIRST_ANSWERS,
-            false => self.stretch.count >= ANSWERS && now - begin >= SPAN,
+            true => self.window.count >= FIRST_WINDOW_ANSWERS,
+            false => self.window.count >= WINDOW_ANSWERS && now - begin >= MIN_WINDOW,
         };
         if !enough {
             return;
         }
         self.means
-            .push_back(self.stretch.sum / f64::from(self.stretch.count));
-        if self.means.len() > MEANS {
+            .push_back(self.window.sum / f64::from(self.window.count));
+        if self.means.len() > MAX_MEANS {
             self.means.pop_front();
         }
-        self.stretch = Stretch::default();
+        self.window = Window::default();
     }
 
     fn is_fresh(&self, now: Instant) -> bool {
-        self.last.is_some_and(|last| now - last < STALE)
+        self.last.is_some_and(|last| now - last < STALE_AFTER)
     }
 }
 
-/// Least weight of one run in the mean work of its class; the first few count alike. It changes
-/// slowly, since it is what other runs are compared with.
-const QUIET_ALPHA: f64 = 0.005;
-/// Runs after which the mean work of a class is believed: times of single runs differ by a third.
-const QUIET_TRUSTED: u32 = 8;
-/// A class of which nothing was heard for so long makes room for others.
-const FORGET_QUIET: Duration = Duration::from_secs(60);
+/// Minimum weight of one run in the mean work of its class; the first runs are weighted equally.
+/// The mean changes slowly, because other runs are compared with it.
+const UNCONTENDED_ALPHA: f64 = 0.005;
+/// Number of runs after which the mean work of a class is used. Times of single runs differ by a
+/// third.
+const UNCONTENDED_TRUSTED: u32 = 8;
+/// Age after which a class without new runs may be evicted.
+const UNCONTENDED_EXPIRY: Duration = Duration::from_secs(60);
 
-/// The mean work of one class.
+/// The mean work of one class at low concurrency.
 #[derive(Debug, Clone, Copy)]
-struct Quiet {
+struct Uncontended {
     mean: f64,
     count: u32,
     last: Instant,
 }
 
-/// The service times of one target: over all, and by urgency.
+/// The service times of one target: overall, by urgency and by class.
 ///
-/// The urgencies are kept apart so that a batch of heavy work neither looks like a slow-down of
-/// the target nor closes the gate to short urgent calls.
+/// Urgencies are tracked separately so that a batch of heavy work does not look like a slowdown of
+/// the target and does not block short urgent calls.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Latency {
     all: Estimate,
     by_urgency: [Estimate; 3],
     by_class: BTreeMap<u32, Estimate>,
-    /// The longest time to its goal that a request of each class came with.
+    /// The longest time to its goal with which a request of each class arrived.
     goals: BTreeMap<u32, Duration>,
-    /// The work of runs that few others ran beside, by class.
-    quiet: BTreeMap<u32, Quiet>,
+    /// Work of runs at low concurrency, by class.
+    uncontended: BTreeMap<u32, Uncontended>,
 }
 
-/// Takes a sample of one class; classes without fresh ones make room.
+/// Records a sample of one class. If the table is full, classes without recent samples are evicted.
 fn sample_into(classes: &mut BTreeMap<u32, Estimate>, now: Instant, class: u32, latency: Duration) {
     if class == 0 {
         return;
     }
-    if classes.len() >= CLASSES && !classes.contains_key(&class) {
+    if classes.len() >= MAX_CLASSES && !classes.contains_key(&class) {
         classes.retain(|_, estimate| estimate.is_fresh(now));
     }
-    if classes.len() < CLASSES {
+    if classes.len() < MAX_CLASSES {
         classes.entry(class).or_default().sample(now, latency);
     }
 }
 
 impl Latency {
-    /// Takes an answer's latency; returns its ratio to the usual one of its urgency.
+    /// Records the latency of an answer and returns its ratio to the usual latency of its urgency.
     pub(crate) fn sample(&mut self, now: Instant, request: &Request, latency: Duration) -> f64 {
         let urgency = request.urgency;
         self.sample_class(now, request.class, latency);
@@ -172,122 +177,135 @@
         sample_into(&mut self.by_class, now, class, latency);
     }
 
-    /// Notes how long before its goal a request came.
-    pub(crate) fn aim(&mut self, class: u32, left: Duration) {
+    /// Records how long before its goal a request arrived.
+    pub(crate) fn record_goal(&mut self, class: u32, left: Duration) {
         let goals = &mut self.goals;
         if class == 0 {
             return;
         }
-        if goals.len() >= CLASSES && !goals.contains_key(&class) {
-            // Those that are still there say so with their next request.
+        if goals.len() >= MAX_CLASSES && !goals.contains_key(&class) {
+            // Classes still in use are added again by their next request.
             goals.clear();
         }
         let longest = goals.entry(class).or_default();
         *longest = left.max(*longest);
     }
 
-    /// Takes the time of a run that few others ran beside.
-    pub(crate) fn sample_quiet(&mut self, now: Instant, class: u32, latency: Duration) {
+    /// Records the work of a run at low concurrency.
+    pub(crate) fn sample_uncontended(&mut self, now: Instant, class: u32, latency: Duration) {
         if class == 0 {
             return;
         }
-        let quiet = &mut self.quiet;
-        if quiet.len() >= CLASSES && !quiet.contains_key(&class) {
-            quiet.retain(|_, quiet| now.saturating_duration_since(quiet.last) < FORGET_QUIET);
+        let uncontended = &mut self.uncontended;
+        if uncontended.len() >= MAX_CLASSES && !uncontended.contains_key(&class) {
+            uncontended
+                .retain(|_, class| now.saturating_duration_since(class.last) < UNCONTENDED_EXPIRY);
         }
-        if quiet.len() >= CLASSES {
+        if uncontended.len() >= MAX_CLASSES {
             return;
         }
-        let quiet = quiet.entry(class).or_insert(Quiet {
+        let uncontended = uncontended.entry(class).or_insert(Uncontended {
             mean: 0.0,
             count: 0,
             last: now,
         });
-        quiet.last = now;
-        quiet.count = quiet.count.saturating_add(1);
-        let weight = QUIET_ALPHA.max(1.0 / f64::from(quiet.count));
-        quiet.mean += (latency.as_secs_f64() - quiet.mean) * weight;
+        uncontended.last = now;
+        uncontended.count = uncontended.count.saturating_add(1);
+        let weight = UNCONTENDED_ALPHA.max(1.0 / f64::from(uncontended.count));
+        uncontended.mean += (latency.as_secs_f64() - uncontended.mean) * weight;
     }
 
-    /// How long work of this class takes while few others run, once that is known.
-    pub(crate) fn quiet(&self, class: u32) -> Option<Duration> {
-        let quiet = self.quiet.get(&class)?;
-        let known = quiet.count >= QUIET_TRUSTED && quiet.mean > LEAST;
-        known.then(|| Duration::from_secs_f64(quiet.mean))
+    /// Returns the mean work of this class at low concurrency, once enough runs are recorded.
+    pub(crate) fn uncontended(&self, class: u32) -> Option<Duration> {
+        let uncontended = self.uncontended.get(&class)?;
+        let known = uncontended.count >= UNCONTENDED_TRUSTED && uncontended.mean > MIN_SECONDS;
+        known.then(|| Duration::from_secs_f64(uncontended.mean))
     }
 
-    /// Smoothed service time over all.
+    /// Smoothed service time over all requests.
     pub(crate) fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.all.mean)
     }
 
-    /// Usual service time of this urgency, or over all while it had few answers; none before
-    /// enough answers of any.
+    /// Usual service time of this urgency, or of all requests while the urgency has too few
+    /// answers. Returns `None` before there are enough answers overall.
     pub(crate) fn usual(&self, urgency: Urgency) -> Option<Duration> {
-        let usual = self.known(urgency).usual()?;
-        Some(Duration::from_secs_f64(usual.max(LEAST)))
+        let usual = self.estimate_of(urgency).usual()?;
+        Some(Duration::from_secs_f64(usual.max(MIN_SECONDS)))
     }
 
-    /// Time that this request will likely run at the usual pace; zero when nothing is known.
+    /// Expected run time of this request at the usual pace; zero if nothing is known.
     ///
-    /// The time of a class, free of the target's pace, holds for long: a class that is rare must not
-    /// be taken for one that takes no time at all. Before its runs have told, its goal does: a gate
-    /// that took an unknown run for one of no time filled its slots with runs that began in slow
-    /// spells, and let in behind them whoever came.
+    /// The time of a class does not depend on the target's pace and does not expire, so a rare
+    /// class keeps its estimate. A class without recorded runs is estimated from its goal: with an
+    /// estimate of zero, a gate filled its slots with runs that started during slowdowns, and
+    /// admitted any request behind them.
     pub(crate) fn expected_of(&self, now: Instant, request: &Request) -> Duration {
         let class = self.by_class.get(&request.class);
         let (mean, count) = class.map_or((0.0, 0), |class| (class.mean, class.count));
-        if count >= TRUSTED {
+        if count >= TRUSTED_ANSWERS {
             return Duration::from_secs_f64(mean);
         }
         let Some(goal) = self.goals.get(&request.class) else {
             return self.expected(now, request.urgency);
         };
-        let assumed = (*goal / GOAL_PART).as_secs_f64();
-        let told = f64::from(count) / f64::from(TRUSTED);
-        Duration::from_secs_f64(assumed + (mean - assumed) * told)
+        let assumed = (*goal / GOAL_DIVISOR).as_secs_f64();
+        let confidence = f64::from(count) / f64::from(TRUSTED_ANSWERS);
+        Duration::from_secs_f64(assumed + (mean - assumed) * confidence)
     }
 
-    /// Whether the mean over all is sound. The first answers are those of the shortest runs, and tell
-    /// nothing of the long ones that fill the slots meanwhile.
-    pub(crate) fn is_learnt(&self) -> bool {
-        self.all.count >= FIRST_ANSWERS
+    /// Whether the mean over all requests is representative. The first answers are those of the
+    /// shortest runs and say nothing about the long ones that fill the slots meanwhile.
+    pub(crate) fn has_converged(&self) -> bool {
+        self.all.count >= FIRST_WINDOW_ANSWERS
     }
 
-    /// By how much the time of such a request varies; zero when little is known.
+    /// Expected deviation of the run time of this request; zero if little is known.
     pub(crate) fn spread_of(&self, request: &Request) -> Duration {
         let class = self.by_class.get(&request.class);
-        let spread = class.map_or(0.0, |class| SPREAD * class.deviation);
+        let spread = class.map_or(0.0, |class| SPREAD_DEVIATIONS * class.deviation);
         Duration::from_secs_f64(spread)
     }
 
-    /// Time that a request of this urgency will likely run; zero when nothing fresh is known.
+    /// Expected run time of a request of this urgency; zero without a recent estimate.
     pub(crate) fn expected(&self, now: Instant, urgency: Urgency) -> Duration {
-        self.view(now, urgency, |estimate| estimate.mean)
+        self.read_fresh(now, urgency, |estimate| estimate.mean)
     }
 
-    /// What an expected wait of this urgency must leave, beside the run, to the deadline.
+    /// Time that must remain between the expected end of a request of this urgency and its
+    /// deadline.
     pub(crate) fn margin(&self, now: Instant, urgency: Urgency) -> Duration {
-        self.view(now, urgency, |estimate| MARGIN * estimate.deviation)
+        self.read_fresh(now, urgency, |estimate| {
+            MARGIN_DEVIATIONS * estimate.deviation
+        })
     }
 
-    /// Time with less of which left a waiting request is given up.
-    pub(crate) fn scant(&self, now: Instant, urgency: Urgency) -> Duration {
-        self.view(now, urgency, |estimate| {
-            estimate.mean + LATE * estimate.deviation
+    /// Remaining time below which a waiting request is refused.
+    pub(crate) fn min_time_left(&self, now: Instant, urgency: Urgency) -> Duration {
+        self.read_fresh(now, urgency, |estimate| {
+            estimate.mean + LATE_DEVIATIONS * estimate.deviation
         })
     }
 
-    fn view(&self, now: Instant, urgency: Urgency, read: impl Fn(&Estimate) -> f64) -> Duration {
-        let known = self.known(urgency);
-        if !known.is_fresh(now) {
+    fn read_fresh(
+        &self,
+        now: Instant,
+        urgency: Urgency,
+        read: impl Fn(&Estimate) -> f64,
+    ) -> Duration {
+        let estimate = self.estimate_of(urgency);
+        if !estimate.is_fresh(now) {
             return Duration::ZERO;
         }
-        Duration::from_secs_f64(read(known))
+        Duration::from_secs_f64(read(estimate))
     }
 
-    fn known(&self, urgency: Urgency) -> &Estimate {
+    fn estimate_of(&self, urgency: Urgency) -> &Estimate {
         let own = &self.by_urgency[urgency.rank()];
-        if own.count >= TRUSTED { own } else { &self.all }
+        if own.count >= TRUSTED_ANSWERS {
+            own
+        } else {
+            &self.all
+        }
     }
 }
--- a/crates/gate/src/limit.rs
+++ b/crates/gate/src/limit.rs
@@ -1,40 +1,40 @@
-//! How many requests may run at once, following the latency of the answers.
+//! The concurrency limit, which follows the latency of the answers.
 
 use serde::Serialize;
 
 /// Weight of one answer in the strain.
 const ALPHA: f64 = 0.1;
-/// Largest ratio that one answer counts for, so that one outlier does not shrink the limit and
-/// the strain has not far to fall when the target is well again.
+/// Upper bound of a single ratio, so that one outlier does not shrink the limit and the strain
+/// falls quickly once the target has recovered.
 const RATIO_CAP: f64 = 4.0;
 /// Strain above which the target counts as slowed down.
 pub(crate) const TOLERANCE: f64 = 2.25;
-/// Least factor of one decrease.
-const CUT: f64 = 0.5;
-/// Smoothing of the gradient's steps.
-const STEP: f64 = 0.2;
-/// Growth that the gradient heads for while the latency is usual.
-const ROOM: f64 = 2.0;
-/// Share of the slots that a cold target gets at first.
-const COLD: f64 = 0.25;
-
-/// How the limit follows the latency.
+/// Factor of one multiplicative decrease, and lower bound of the gradient.
+const DECREASE_FACTOR: f64 = 0.5;
+/// Smoothing factor of the gradient's steps.
+const GRADIENT_ALPHA: f64 = 0.2;
+/// Additive growth per step of the gradient while the latency is usual.
+const GRADIENT_GROWTH: f64 = 2.0;
+/// Initial share of the slots for a cold target.
+const COLD_SHARE: f64 = 0.25;
+
+/// The algorithm by which the limit follows the latency.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Law {
-    /// Additive increase, multiplicative decrease once a round.
+    /// Additive increase, multiplicative decrease, at most one decrease per round.
     #[default]
     Aimd,
     /// Each answer moves the limit by the ratio of the usual latency to the present one.
     Gradient,
-    /// Always the configured slots.
+    /// Always the configured number of slots.
     Fixed,
-    /// The slots up to which the target does not slow down; see docs/design/spells.md.
+    /// The number of slots up to which the target does not slow down; see docs/design/spells.md.
     Knee,
 }
 
-/// The place of a start in the order of all starts.
-pub(crate) type Turn = u64;
+/// The sequence number of a start among all starts.
+pub(crate) type Seq = u64;
 
 #[derive(Debug, Clone)]
 pub(crate) struct Limit {
@@ -42,12 +42,14 @@
     slots: f64,
     value: f64,
     strain: f64,
-    /// Starts before this one belong to a round that was already answered by a decrease.
-    round: Turn,
+    /// First start of the current round. Earlier starts belong to a round that was already
+    /// decreased.
+    round_start: Seq,
     /// The latest start that was answered quickly.
-    quick: Turn,
-    /// Doubles a round until the first decrease, or until the slots are reached.
-    cold: bool,
+    last_quick: Seq,
+    /// Whether the limit doubles each round, until the first decrease or until it reaches the
+    /// slots.
+    slow_start: bool,
 }
 
 impl Limit {
@@ -57,32 +59,32 @@
             slots: f64::from(slots),
             value: f64::from(slots),
             strain: 1.0,
-            round: 0,
-            quick: 0,
-            cold: true,
+            round_start: 0,
+            last_quick: 0,
+            slow_start: true,
         };
-        limit.chill();
+        limit.reset_cold();
         limit
     }
 
-    /// Whether single answers and troubles leave the limit as it is.
-    fn is_set(&self) -> bool {
+    /// Whether the limit does not react to answers and faults.
+    fn ignores_answers(&self) -> bool {
         matches!(self.law, Law::Fixed | Law::Knee)
     }
 
-    /// Whether the limit is what the target gets most done with.
-    pub(crate) fn is_by_knee(&self) -> bool {
+    /// Whether the limit is the knee of the load-latency curve.
+    pub(crate) fn follows_knee(&self) -> bool {
         self.law == Law::Knee
     }
 
-    /// Sets the limit to what the target gets most done with.
-    pub(crate) fn settle(&mut self, best: usize) {
+    /// Sets the limit to the knee, if the limit follows it.
+    pub(crate) fn follow_knee(&mut self, best: usize) {
         if self.law == Law::Knee {
             self.set(best as f64);
         }
     }
 
-    /// The target runs so many at once from now on.
+    /// Changes the number of slots.
     pub(crate) fn resize(&mut self, slots: u16) {
         let slots = f64::from(slots.max(1));
         let all = self.value >= self.slots;
@@ -90,7 +92,7 @@
         self.set(if all { slots } else { self.value });
     }
 
-    /// Requests that may run at once now.
+    /// Number of requests that may run at once.
     pub(crate) fn now(&self) -> usize {
         (self.value + 1e-9) as usize
     }
@@ -99,74 +101,78 @@
         self.slots as usize
     }
 
-    /// Mean of the last answers' ratios to their usual latency.
+    /// Smoothed ratio of recent latencies to the usual latency.
     pub(crate) fn strain(&self) -> f64 {
         self.strain
     }
 
-    /// Starts again from a small value, as a target does that has just come up.
-    pub(crate) fn chill(&mut self) {
+    /// Resets the limit to the initial value of a cold target.
+    pub(crate) fn reset_cold(&mut self) {
         self.strain = 1.0;
-        self.cold = true;
-        if !self.is_set() {
-            self.set(self.slots * COLD);
+        self.slow_start = true;
+        if !self.ignores_answers() {
+            self.set(self.slots * COLD_SHARE);
         }
     }
 
-    /// An answer came after `ratio` times the usual latency; its run was start number `turn`,
-    /// and `next` will be the next start.
+    /// Records an answer that took `ratio` times the usual latency. `seq` is the start of its run
+    /// and `next` is the next start.
     ///
-    /// In a strain, a slow answer that a later start has overtaken with a quick one tells of the
-    /// time when it was started. The last runs from a bad time would keep the limit down long
-    /// after the target is well.
-    pub(crate) fn answer(&mut self, ratio: f64, turn: Turn, next: Turn) {
+    /// Under strain, a slow answer is ignored if a later start was already answered quickly: it
+    /// shows the state of the target when it started. Otherwise the last runs from a slow period
+    /// would keep the limit low long after the target has recovered.
+    pub(crate) fn record_answer(&mut self, ratio: f64, seq: Seq, next: Seq) {
         let quick = ratio <= TOLERANCE;
-        if !quick && self.strain > TOLERANCE && turn < self.quick {
+        if !quick && self.strain > TOLERANCE && seq < self.last_quick {
             return;
         }
         if quick {
-            self.quick = self.quick.max(turn);
+            self.last_quick = self.last_quick.max(seq);
         }
         self.strain += ALPHA * (ratio.min(RATIO_CAP) - self.strain);
         match self.law {
             Law::Fixed | Law::Knee => {}
-            Law::Aimd => self.answer_aimd(turn, next),
-            Law::Gradient => self.answer_gradient(),
+            Law::Aimd => self.step_aimd(seq, next),
+            Law::Gradient => self.step_gradient(),
         }
     }
 
-    fn answer_aimd(&mut self, turn: Turn, next: Turn) {
+    fn step_aimd(&mut self, seq: Seq, next: Seq) {
         if self.strain > TOLERANCE {
-            self.cut(turn, next);
+            self.cut(seq, next);
             return;
         }
-        let step = if self.cold { 1.0 } else { 1.0 / self.value };
+        let step = if self.slow_start {
+            1.0
+        } else {
+            1.0 / self.value
+        };
         self.set(self.value + step);
-        self.cold &= self.value < self.slots;
+        self.slow_start &= self.value < self.slots;
     }
 
-    fn answer_gradient(&mut self) {
-        let gradient = (TOLERANCE / self.strain).clamp(CUT, 1.0);
-        let room = if gradient < 1.0 { 0.0 } else { ROOM };
+    fn step_gradient(&mut self) {
+        let gradient = (TOLERANCE / self.strain).clamp(DECREASE_FACTOR, 1.0);
+        let room = if gradient < 1.0 { 0.0 } else { GRADIENT_GROWTH };
         let target = self.value * gradient + room;
-        self.set(self.value + STEP * (target - self.value));
+        self.set(self.value + GRADIENT_ALPHA * (target - self.value));
     }
 
-    /// The target is in trouble: it shed run number `turn`, or that run is stuck.
+    /// Cuts the limit because the target shed run `seq`, or because that run is stalled.
     ///
-    /// At most one decrease a round: the runs under way were all started at the old limit, and
-    /// would each cut it again for the same trouble.
-    pub(crate) fn cut(&mut self, turn: Turn, next: Turn) {
-        if self.is_set() || turn < self.round {
+    /// The limit is cut at most once per round: all runs in progress started under the old limit,
+    /// and each of them would cut it again for the same cause.
+    pub(crate) fn cut(&mut self, seq: Seq, next: Seq) {
+        if self.ignores_answers() || seq < self.round_start {
             return;
         }
-        self.round = next;
-        self.cold = false;
-        self.set(self.value * CUT);
+        self.round_start = next;
+        self.slow_start = false;
+        self.set(self.value * DECREASE_FACTOR);
     }
 
-    /// Allows at least `count` at once.
-    pub(crate) fn lift(&mut self, count: usize) {
+    /// Raises the limit to at least `count`.
+    pub(crate) fn raise_to(&mut self, count: usize) {
         if self.law != Law::Knee {
             self.set(self.value.max(count as f64));
         }
--- a/crates/gate/src/schedule.rs
+++ b/crates/gate/src/schedule.rs
@@ -59,7 +59,7 @@
         }
         let earliest = self.pause.unwrap_or(now);
         self.refuse_until(now, |core, urgency| {
-            earliest + core.latency.scant(now, urgency).max(ANSWER_WITHIN)
+            earliest + core.latency.min_time_left(now, urgency).max(ANSWER_WITHIN)
         });
     }
 
@@ -316,7 +316,7 @@
         let earliest = self.pause.unwrap_or(now);
         let late = Urgency::ALL.into_iter().filter_map(|urgency| {
             let (deadline, _) = self.deadlines[urgency.rank()].first()?;
-            let scant = self.latency.scant(now, urgency).max(ANSWER_WITHIN);
+            let scant = self.latency.min_time_left(now, urgency).max(ANSWER_WITHIN);
             let slack = (earliest - now) + scant;
             Some(deadline.checked_sub(slack).unwrap_or(now).max(now))
         });
--- a/crates/gate/src/suspect.rs
+++ b/crates/gate/src/suspect.rs
@@ -13,7 +13,7 @@
 use unit::Digest;
 
 use crate::builder::Setting;
-use crate::limit::Turn;
+use crate::limit::Seq;
 
 /// Most suspicions remembered; the one that would age out first makes room.
 const BOUND: usize = 256;
@@ -47,7 +47,7 @@
 struct Record {
     crashes: u8,
     /// Starts before this one belong to a crash that was already counted.
-    since: Turn,
+    since: Seq,
     until: Instant,
     convicted: bool,
     learnt: bool,
@@ -111,7 +111,7 @@
     }
 
     /// A run of this kind was answered; it clears the kind if it began after the last crash.
-    pub(crate) fn clear(&mut self, kind: Digest, turn: Turn) {
+    pub(crate) fn clear(&mut self, kind: Digest, turn: Seq) {
         let cleared = |record: &Record| !record.convicted && turn >= record.since;
         if self.records.get(&kind).is_some_and(cleared) {
             self.records.remove(&kind);
@@ -123,7 +123,7 @@
     /// A plain one counts as one crash. A conviction is taken over, else each target of the
     /// fleet would have to crash once more by itself. What that gate itself had only heard is
     /// dropped: two gates that pass it to and fro would keep it alive for ever.
-    pub(crate) fn learn(&mut self, now: Instant, suspicion: &Suspicion, next: Turn) {
+    pub(crate) fn learn(&mut self, now: Instant, suspicion: &Suspicion, next: Seq) {
         if suspicion.learnt || suspicion.remaining.is_zero() {
             return;
         }
@@ -191,9 +191,9 @@
 /// How a run that crashed was placed among the others.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Run {
-    pub(crate) turn: Turn,
+    pub(crate) turn: Seq,
     /// The number of the next start.
-    pub(crate) next: Turn,
+    pub(crate) next: Seq,
     /// Nothing else ran beside it.
     pub(crate) alone: bool,
 }
