--- a/crates/gate/src/core.rs
+++ b/crates/gate/src/core.rs
@@ -203,9 +203,9 @@
             Standing::Convicted { .. } => Some(Cause::Suspect),
             Standing::Suspect if !self.quarantine.has_room() => Some(Cause::Suspect),
             Standing::Suspect => None,
-            Standing::Innocent if self.is_better_elsewhere(now, request) => Some(Cause::Full),
-            Standing::Innocent if request.nested && self.has_nested_room() => None,
-            Standing::Innocent => self.forecast_objection(now, request),
+            Standing::Unsuspected if self.is_better_elsewhere(now, request) => Some(Cause::Full),
+            Standing::Unsuspected if request.nested && self.has_nested_room() => None,
+            Standing::Unsuspected => self.forecast_objection(now, request),
         }
     }
 
@@ -218,7 +218,7 @@
 
     pub(crate) fn enqueue(&mut self, now: Instant, id: Id, request: Request) {
         let rank = request.urgency.rank();
-        let suspect = self.standing(now, request.kind) != Standing::Innocent;
+        let suspect = self.standing(now, request.kind) != Standing::Unsuspected;
         if suspect {
             self.quarantine.push(id);
         } else {
@@ -402,7 +402,7 @@
     /// all others until they are convicted.
     pub(crate) fn standing(&self, now: Instant, kind: Digest) -> Standing {
         match self.suspects.standing(now, kind) {
-            Standing::Suspect if !self.setting.isolate_suspects => Standing::Innocent,
+            Standing::Suspect if !self.setting.isolate_suspects => Standing::Unsuspected,
             standing => standing,
         }
     }
--- a/crates/gate/src/ending.rs
+++ b/crates/gate/src/ending.rs
@@ -23,7 +23,7 @@
     ///
     /// An id that was never dispatched gives its slot back and counts as not run.
     pub fn finish(&mut self, now: Instant, id: Id, end: End) {
-        let alone = self.quarantine.is_alone(now, id);
+        let alone = self.quarantine.is_isolated(now, id);
         let Some(held) = self.release(now, id) else {
             return;
         };
@@ -67,7 +67,11 @@
             End::Declined => {}
             End::Crashed => {
                 let turn = held.turn;
-                let run = suspect::Run { turn, next, alone };
+                let run = suspect::CrashedRun {
+                    seq: turn,
+                    next,
+                    isolated: alone,
+                };
                 self.suspects.crash(now, kind, run);
                 self.refuse_convicted(now, kind);
             }
--- a/crates/gate/src/forecast.rs
+++ b/crates/gate/src/forecast.rs
@@ -69,7 +69,7 @@
         }
         let rank = request.urgency.rank();
         let more_urgent: usize = self.lanes[..rank].iter().map(|lane| lane.len()).sum();
-        let own = self.lanes[rank].before(&request.caller, request.weight);
+        let own = self.lanes[rank].ahead_of(&request.caller, request.weight);
         self.wait_behind(now, request.urgency, more_urgent + own)
     }
 
@@ -93,7 +93,7 @@
         let pause = self
             .pause
             .map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
-        pause + self.quarantine.hold(now, service)
+        pause + self.quarantine.expected_hold(now, service)
     }
 
     fn wait_behind(&self, now: Instant, urgency: Urgency, ahead: usize) -> Duration {
--- a/crates/gate/src/lane.rs
+++ b/crates/gate/src/lane.rs
@@ -1,4 +1,4 @@
-//! The queue of one urgency: fair by member, and by caller inside a member.
+//! The queue of one urgency, fair among members and among the callers of a member.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,25 +7,25 @@
 
 use crate::request::Id;
 
-/// Virtual time that one request of weight 1 takes.
+/// Virtual time taken by one request of weight 1.
 const QUANTUM: u64 = 1 << 20;
 
-/// Virtual time: a member's next request starts at its tag.
+/// Virtual start time of a member's next request.
 type Tag = u64;
 
-/// Start-time fair queueing over the members that wait, round robin over the callers in each.
+/// Start-time fair queueing over members, with round robin over the callers of each member.
 ///
-/// The order of a member's starts depends on how many members wait, not on how much each has
-/// queued, so a member's batch delays a neighbour's request by at most one start for each unit
-/// of weight. The two levels keep a member from gaining by many caller names, and its counter
-/// from waiting behind its own batch.
+/// The order of a member's starts depends on how many members wait, not on how many requests each
+/// has queued, so one member's batch delays a request of another member by at most one start per
+/// unit of weight. The two levels prevent a member from gaining a larger share by using many caller
+/// names, and keep its interactive callers from waiting behind its own batch.
 #[derive(Debug, Default)]
 pub(crate) struct Lane {
     flows: BTreeMap<Member, Flow>,
-    /// Members with requests, by tag and by when they took it.
+    /// Members with waiting requests, by tag and then by the order in which they got it.
     ready: BTreeMap<Place, Member>,
-    clock: Tag,
-    places: u64,
+    virtual_time: Tag,
+    next_order: u64,
     len: usize,
 }
 
@@ -40,16 +40,16 @@
     place: Place,
     weight: u32,
     len: usize,
-    turns: VecDeque<Caller>,
+    round_robin: VecDeque<Caller>,
     queues: BTreeMap<Caller, VecDeque<Id>>,
 }
 
-/// How many requests of one caller wait.
+/// The number of waiting requests of one caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Waiting {
     /// The caller.
     pub caller: Caller,
-    /// Its waiting requests.
+    /// Number of its waiting requests.
     pub queued: usize,
 }
 
@@ -58,8 +58,8 @@
         QUANTUM / u64::from(self.weight)
     }
 
-    /// Requests of this member that start before one that `caller` would add now.
-    fn before(&self, caller: &Caller) -> usize {
+    /// Requests of this member that would start before a new one of `caller`.
+    fn ahead_of(&self, caller: &Caller) -> usize {
         let mine = self.queues.get(caller).map_or(0, VecDeque::len);
         let others = self.queues.iter().filter(|(other, _)| *other != caller);
         mine + others
@@ -68,13 +68,13 @@
     }
 
     fn pop(&mut self) -> Option<Id> {
-        let caller = self.turns.pop_front()?;
+        let caller = self.round_robin.pop_front()?;
         let queue = self.queues.get_mut(&caller)?;
         let id = queue.pop_front();
         if queue.is_empty() {
             self.queues.remove(&caller);
         } else {
-            self.turns.push_back(caller);
+            self.round_robin.push_back(caller);
         }
         self.len -= 1;
         id
@@ -82,7 +82,7 @@
 
     fn push(&mut self, caller: &Caller, id: Id) {
         if !self.queues.contains_key(caller) {
-            self.turns.push_back(caller.clone());
+            self.round_robin.push_back(caller.clone());
         }
         self.queues.entry(caller.clone()).or_default().push_back(id);
         self.len += 1;
@@ -98,7 +98,7 @@
         queue.remove(at);
         if queue.is_empty() {
             self.queues.remove(caller);
-            self.turns.retain(|other| other != caller);
+            self.round_robin.retain(|other| other != caller);
         }
         self.len -= 1;
         true
@@ -120,23 +120,23 @@
         self.forget_idle();
         let member = caller.member();
         let place = Place {
-            tag: self.clock,
-            order: self.places,
+            tag: self.virtual_time,
+            order: self.next_order,
         };
         let flow = self.flows.entry(member.clone()).or_insert_with(|| Flow {
             place,
             weight: 1,
             len: 0,
-            turns: VecDeque::new(),
+            round_robin: VecDeque::new(),
             queues: BTreeMap::new(),
         });
         flow.weight = weight.clamp(1, QUANTUM as u32);
         if flow.len == 0 {
             flow.place = place.max(Place {
                 tag: flow.place.tag,
-                order: self.places,
+                order: self.next_order,
             });
-            self.places += 1;
+            self.next_order += 1;
             self.ready.insert(flow.place, member);
         }
         flow.push(caller, id);
@@ -145,15 +145,15 @@
 
     pub(crate) fn pop(&mut self) -> Option<Id> {
         let (place, member) = self.ready.pop_first()?;
-        self.clock = place.tag;
+        self.virtual_time = place.tag;
         let flow = self.flows.get_mut(&member)?;
         let id = flow.pop();
         self.len -= 1;
         flow.place = Place {
             tag: place.tag + flow.step(),
-            order: self.places,
+            order: self.next_order,
         };
-        self.places += 1;
+        self.next_order += 1;
         if flow.len > 0 {
             self.ready.insert(flow.place, member);
         }
@@ -174,13 +174,15 @@
         true
     }
 
-    /// Requests of this lane that start before one that `caller` would add now.
-    pub(crate) fn before(&self, caller: &Caller, weight: u32) -> usize {
+    /// Requests of this lane that would start before a new one of `caller`.
+    pub(crate) fn ahead_of(&self, caller: &Caller, weight: u32) -> usize {
         let member = caller.member();
         let own = self.flows.get(&member);
-        let mine = own.map_or(0, |flow| flow.before(caller));
+        let mine = own.map_or(0, |flow| flow.ahead_of(caller));
         let step = QUANTUM / u64::from(weight.clamp(1, QUANTUM as u32));
-        let tag = own.map_or(self.clock, |flow| flow.place.tag.max(self.clock));
+        let tag = own.map_or(self.virtual_time, |flow| {
+            flow.place.tag.max(self.virtual_time)
+        });
         let start = tag + mine as u64 * step;
         let others = self.flows.iter().filter(|(other, _)| **other != member);
         let ahead = others.map(|(_, flow)| {
@@ -190,8 +192,8 @@
         mine + ahead.sum::<usize>()
     }
 
-    /// Who makes room for a newcomer when the lane is full: the newest request of the member
-    /// that holds most for its weight, unless the newcomer's member would hold as much.
+    /// The request to evict from a full lane for a new one: the newest request of the member with
+    /// the most requests per weight. Returns `None` if the newcomer's member would hold as many.
     pub(crate) fn victim(&self, caller: &Caller, weight: u32) -> Option<Id> {
         let load = |flow: &Flow| flow.len as f64 / f64::from(flow.weight);
         let heaviest = self
@@ -206,16 +208,18 @@
         heaviest.newest()
     }
 
-    /// Drops members that wait for nothing and are owed no delay.
+    /// Removes members that have no waiting requests and whose tag is not ahead of the virtual
+    /// time.
     ///
-    /// Members with requests are bounded by the lane's length, so this bounds the table.
+    /// Members with waiting requests are bounded by the length of the lane, so this bounds the
+    /// table.
     fn forget_idle(&mut self) {
         if self.flows.len() <= 2 * self.len + 64 {
             return;
         }
-        let clock = self.clock;
+        let virtual_time = self.virtual_time;
         self.flows
-            .retain(|_, flow| flow.len > 0 || flow.place.tag > clock);
+            .retain(|_, flow| flow.len > 0 || flow.place.tag > virtual_time);
     }
 
     pub(crate) fn waiting(&self) -> impl Iterator<Item = Waiting> {
--- a/crates/gate/src/quarantine.rs
+++ b/crates/gate/src/quarantine.rs
@@ -1,10 +1,10 @@
-//! Runs suspects one at a time with nothing beside them, for a bounded share of the time.
+//! Runs suspects one at a time and in isolation, for a bounded share of the time.
 //!
-//! A suspect's turn begins with a drain: no other request starts until those under way have
-//! ended. Each step is bounded, else one suspect that hangs, or a stream of suspects, would take
-//! the whole target: a drain that takes too long is given up and the suspect refused; a run that
-//! takes too long is joined by others; and between two turns the rest has the target for three
-//! times as long as the last turn took.
+//! A suspect's turn starts with a drain: no other request starts until the running ones have ended.
+//! Each step is bounded, because a suspect that hangs, or a stream of suspects, would otherwise
+//! occupy the whole target. If the drain takes too long, it is abandoned and the suspect refused.
+//! If the suspect's run takes too long, others may start beside it. Between two turns, the other
+//! requests have the target for three times the length of the last turn.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 
 use crate::request::Id;
 
-/// Most suspects that wait; more are refused.
-const QUEUE: usize = 4;
-/// Time for the others between two turns, in lengths of the last turn.
-const REST: u32 = 3;
+/// Maximum number of waiting suspects; more are refused.
+const MAX_WAITING: usize = 4;
+/// Time for the other requests between two turns, as a multiple of the last turn.
+const REST_FACTOR: u32 = 3;
 /// Longest drain, in service times.
-const DRAIN: u32 = 5;
-const DRAIN_LEAST: Duration = Duration::from_millis(10);
-const DRAIN_MOST: Duration = Duration::from_millis(250);
-/// Longest run with nothing beside it, in service times.
-const HOLD: u32 = 10;
-const HOLD_LEAST: Duration = Duration::from_millis(50);
-const HOLD_MOST: Duration = Duration::from_secs(1);
+const DRAIN_SERVICE_TIMES: u32 = 5;
+const DRAIN_MIN: Duration = Duration::from_millis(10);
+const DRAIN_MAX: Duration = Duration::from_millis(250);
+/// Longest run in isolation, in service times.
+const RUN_SERVICE_TIMES: u32 = 10;
+const RUN_MIN: Duration = Duration::from_millis(50);
+const RUN_MAX: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, Copy)]
 enum Phase {
@@ -42,10 +42,10 @@
     },
 }
 
-/// What the suspects allow to be done next.
+/// What may start next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Step {
-    /// Others may start.
+    /// Requests that are not suspects may start.
     Others,
     /// Nothing may start.
     Hold,
@@ -74,7 +74,7 @@
     }
 
     pub(crate) fn has_room(&self) -> bool {
-        self.queue.len() < QUEUE
+        self.queue.len() < MAX_WAITING
     }
 
     pub(crate) fn front(&self) -> Option<Id> {
@@ -89,7 +89,8 @@
         self.queue.retain(|queued| *queued != id);
     }
 
-    /// Decides what may start, given how many run and whether others wait.
+    /// Decides what may start. `running` is the number of running requests, and `others` tells
+    /// whether requests that are not suspects wait.
     pub(crate) fn step(
         &mut self,
         now: Instant,
@@ -105,26 +106,26 @@
             };
         }
         let Some(id) = self.queue.front().copied() else {
-            self.settle(now);
+            self.end_turn(now);
             return Step::Others;
         };
         match self.phase {
             Phase::Rest { until } if now < until && (others || running > 0) => Step::Others,
             Phase::Drain { until, .. } if running > 0 && now >= until => {
-                self.settle(now);
+                self.end_turn(now);
                 self.queue.pop_front();
                 Step::GiveUp(id)
             }
             _ if running == 0 => {
-                let since = self.turn_began(now);
+                let since = self.turn_start(now);
                 self.queue.pop_front();
-                let until = now + (service * HOLD).clamp(HOLD_LEAST, HOLD_MOST);
+                let until = now + (service * RUN_SERVICE_TIMES).clamp(RUN_MIN, RUN_MAX);
                 self.phase = Phase::Run { id, since, until };
                 Step::Start(id)
             }
             _ => {
-                let since = self.turn_began(now);
-                let until = since + (service * DRAIN).clamp(DRAIN_LEAST, DRAIN_MOST);
+                let since = self.turn_start(now);
+                let until = since + (service * DRAIN_SERVICE_TIMES).clamp(DRAIN_MIN, DRAIN_MAX);
                 if !matches!(self.phase, Phase::Drain { .. }) {
                     self.phase = Phase::Drain { since, until };
                 }
@@ -133,34 +134,34 @@
         }
     }
 
-    /// A run has ended; if it was the suspect's, the others' time begins.
+    /// Ends the turn if the run that has ended is the suspect's.
     pub(crate) fn end(&mut self, now: Instant, id: Id) {
         if matches!(self.phase, Phase::Run { id: running, .. } if running == id) {
-            self.settle(now);
+            self.end_turn(now);
         }
     }
 
-    fn turn_began(&self, now: Instant) -> Instant {
+    fn turn_start(&self, now: Instant) -> Instant {
         match self.phase {
             Phase::Drain { since, .. } => since,
             _ => now,
         }
     }
 
-    /// Ends a turn, if there is one.
-    fn settle(&mut self, now: Instant) {
+    /// Ends the current turn, if there is one, and starts the rest after it.
+    fn end_turn(&mut self, now: Instant) {
         if let Phase::Drain { since, .. } | Phase::Run { since, .. } = self.phase {
-            let until = now + (now - since) * REST;
+            let until = now + (now - since) * REST_FACTOR;
             self.phase = Phase::Rest { until };
         }
     }
 
-    /// Whether this run is the suspect's with nothing beside it.
-    pub(crate) fn is_alone(&self, now: Instant, id: Id) -> bool {
+    /// Whether this is the suspect's run and is still isolated.
+    pub(crate) fn is_isolated(&self, now: Instant, id: Id) -> bool {
         matches!(self.phase, Phase::Run { id: running, until, .. } if running == id && now < until)
     }
 
-    /// When [`Quarantine::step`] may decide otherwise by time alone.
+    /// When the result of [`Quarantine::step`] may change through the passage of time alone.
     pub(crate) fn timer(&self, now: Instant) -> Option<Instant> {
         let until = match self.phase {
             Phase::Rest { until } if !self.queue.is_empty() => until,
@@ -170,8 +171,8 @@
         (until > now).then_some(until)
     }
 
-    /// Time that the present or next turn may still keep the others waiting.
-    pub(crate) fn hold(&self, now: Instant, service: Duration) -> Duration {
+    /// Expected time for which the current or next turn still blocks other requests.
+    pub(crate) fn expected_hold(&self, now: Instant, service: Duration) -> Duration {
         match self.phase {
             Phase::Run { until, .. } if now < until => service.min(until - now),
             Phase::Drain { .. } => service * 2,
--- a/crates/gate/src/schedule.rs
+++ b/crates/gate/src/schedule.rs
@@ -187,7 +187,7 @@
 
     fn is_innocent(&self, now: Instant, id: Id) -> bool {
         let request = self.waiting.get(&id);
-        request.is_none_or(|r| self.standing(now, r.kind) == Standing::Innocent)
+        request.is_none_or(|r| self.standing(now, r.kind) == Standing::Unsuspected)
     }
 
     /// Lets a request that became a suspect in its lane wait for a turn alone.
@@ -226,7 +226,7 @@
             match self.standing(now, request.kind) {
                 Standing::Suspect => return,
                 Standing::Convicted { .. } => self.refuse_waiting(now, id, Cause::Suspect),
-                Standing::Innocent => {
+                Standing::Unsuspected => {
                     self.quarantine.remove(id);
                     let lane = &mut self.lanes[request.urgency.rank()];
                     lane.push(&request.caller, request.weight, id);
--- a/crates/gate/src/slowdown.rs
+++ b/crates/gate/src/slowdown.rs
@@ -88,7 +88,7 @@
             return false;
         };
         let run = self.run_between_slowdowns(now, &held.request);
-        !self.quarantine.is_alone(now, id) && self.pace.expected_loss(now, run) > PROBE_THRESHOLD
+        !self.quarantine.is_isolated(now, id) && self.pace.expected_loss(now, run) > PROBE_THRESHOLD
     }
 
     /// Checks again whether a request that holds a slot should start, since the state of the target
@@ -121,7 +121,7 @@
         if self.down {
             return Some(Reversal::Refuse(Cause::Down));
         }
-        if self.quarantine.is_alone(now, id) {
+        if self.quarantine.is_isolated(now, id) {
             return None;
         }
         if self.is_better_elsewhere(now, request) {
--- a/crates/gate/src/suspect.rs
+++ b/crates/gate/src/suspect.rs
@@ -1,9 +1,9 @@
-//! Requests suspected to crash targets, known by the fingerprint of what ran at a crash.
+//! Requests suspected of crashing targets, identified by fingerprint.
 //!
-//! After a crash each request that ended with it is a suspect. A suspect runs only while nothing
-//! else runs; an answer clears it, a second crash while it runs alone convicts it, and it is
-//! refused for a bounded time. Bystanders of the first crash are cleared by their next answered
-//! run. See [`quarantine`](crate::quarantine) for how much of the target suspects may use.
+//! After a crash, each request that was running is a suspect. A suspect runs only in isolation. An
+//! answer clears it; a second crash while it runs in isolation convicts it, and it is then refused
+//! for a bounded time. Requests that ran at the first crash by chance are cleared by their next
+//! answered run. See [`quarantine`](crate::quarantine) for how much of the target suspects may use.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,30 +15,31 @@
 use crate::builder::Setting;
 use crate::limit::Seq;
 
-/// Most suspicions remembered; the one that would age out first makes room.
-const BOUND: usize = 256;
-/// Crashes that convict a request even if it never crashed the target alone.
-const CROWD: u8 = 3;
+/// Maximum number of suspicions; beyond it, the one that expires first is evicted, unconvicted ones
+/// before convicted ones.
+const MAX_RECORDS: usize = 256;
+/// Number of crashes that convict a request even if it never crashed the target in isolation.
+const CONVICTING_CRASHES: u8 = 3;
 
-/// What is held against one kind of request.
+/// The suspicion against one kind of request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
-    /// Fingerprint of method, path and the head of the body.
+    /// Fingerprint of the method, the path and the start of the body.
     pub kind: Digest,
-    /// Crashes at which it ran.
+    /// Number of crashes during which it ran.
     pub crashes: u8,
-    /// It crashed a target while it ran alone, and is refused.
+    /// Whether it is convicted of crashing targets, and refused.
     pub convicted: bool,
-    /// How long this holds without another crash.
+    /// Time until this expires, if there is no further crash.
     pub remaining: Duration,
-    /// Heard from another gate, rather than seen here.
+    /// Whether it was reported by another gate rather than seen here.
     pub learnt: bool,
 }
 
-/// How a request is treated on account of its kind.
+/// How requests of a kind are treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Standing {
-    Innocent,
+    Unsuspected,
     Suspect,
     Convicted { remaining: Duration },
 }
@@ -57,8 +58,8 @@
 pub(crate) struct Table {
     suspicion: Duration,
     conviction: Duration,
-    /// Crashes that other gates have seen count as if they were seen here.
-    sums: bool,
+    /// Whether crashes reported by other gates count like those seen here.
+    counts_remote: bool,
     records: BTreeMap<Digest, Record>,
 }
 
@@ -67,27 +68,28 @@
         Table {
             suspicion: setting.suspicion,
             conviction: setting.conviction,
-            sums: !setting.isolate_suspects,
+            counts_remote: !setting.isolate_suspects,
             records: BTreeMap::new(),
         }
     }
 
     pub(crate) fn standing(&self, now: Instant, kind: Digest) -> Standing {
         match self.records.get(&kind) {
-            Some(record) if record.until <= now => Standing::Innocent,
+            Some(record) if record.until <= now => Standing::Unsuspected,
             Some(record) if record.convicted => Standing::Convicted {
                 remaining: record.until - now,
             },
             Some(_) => Standing::Suspect,
-            None => Standing::Innocent,
+            None => Standing::Unsuspected,
         }
     }
 
-    /// The target crashed under a request of this kind, whose run was start number `turn`.
+    /// Records a crash of the target while a request of this kind ran.
     ///
-    /// Copies that ran side by side crash once together: without the turn, two resends in one
-    /// crash would look like two crashes, and convict a bystander.
-    pub(crate) fn crash(&mut self, now: Instant, kind: Digest, run: Run) {
+    /// Copies that run side by side crash together and count as one crash, which the start number
+    /// of `run` shows. Otherwise two copies in one crash would look like two crashes and convict a
+    /// bystander.
+    pub(crate) fn crash(&mut self, now: Instant, kind: Digest, run: CrashedRun) {
         let until = now + self.suspicion;
         let record = self.records.entry(kind).or_insert(Record {
             crashes: 0,
@@ -96,33 +98,35 @@
             convicted: false,
             learnt: false,
         });
-        if record.crashes > 0 && run.turn < record.since {
+        if record.crashes > 0 && run.seq < record.since {
             return;
         }
         record.crashes = record.crashes.saturating_add(1);
         record.since = run.next;
         record.learnt = false;
         record.until = record.until.max(until);
-        if (run.alone && record.crashes >= 2) || record.crashes >= CROWD {
+        if (run.isolated && record.crashes >= 2) || record.crashes >= CONVICTING_CRASHES {
             record.convicted = true;
             record.until = now + self.conviction;
         }
-        self.bound();
+        self.evict_over_limit();
     }
 
-    /// A run of this kind was answered; it clears the kind if it began after the last crash.
-    pub(crate) fn clear(&mut self, kind: Digest, turn: Seq) {
-        let cleared = |record: &Record| !record.convicted && turn >= record.since;
+    /// Records an answered run of this kind, which clears the kind if the run started after the
+    /// last crash.
+    pub(crate) fn clear(&mut self, kind: Digest, seq: Seq) {
+        let cleared = |record: &Record| !record.convicted && seq >= record.since;
         if self.records.get(&kind).is_some_and(cleared) {
             self.records.remove(&kind);
         }
     }
 
-    /// Takes a suspicion from another gate; `next` is the number of the next start here.
+    /// Adopts a suspicion from another gate; `next` is the next start here.
     ///
-    /// A plain one counts as one crash. A conviction is taken over, else each target of the
-    /// fleet would have to crash once more by itself. What that gate itself had only heard is
-    /// dropped: two gates that pass it to and fro would keep it alive for ever.
+    /// A plain suspicion counts as one crash, unless crashes are summed over all gates. A
+    /// conviction is adopted as such, because otherwise each target of the fleet would have to
+    /// crash once more. Suspicions that the other gate itself was sent are ignored, because two
+    /// gates would otherwise keep them alive by sending them back and forth.
     pub(crate) fn learn(&mut self, now: Instant, suspicion: &Suspicion, next: Seq) {
         if suspicion.learnt || suspicion.remaining.is_zero() {
             return;
@@ -140,15 +144,15 @@
             learnt: true,
         });
         record.until = record.until.max(until);
-        if self.sums {
+        if self.counts_remote {
             record.crashes = record.crashes.max(suspicion.crashes);
         }
         record.convicted |= suspicion.convicted;
-        self.bound();
+        self.evict_over_limit();
     }
 
-    /// Ages records: a conviction that has run out leaves a suspicion, so that one more crash
-    /// alone is enough to convict again.
+    /// Expires records. An expired conviction becomes a suspicion, so that one more crash in
+    /// isolation convicts again.
     pub(crate) fn expire(&mut self, now: Instant) {
         let suspicion = self.suspicion;
         self.records.retain(|_, record| {
@@ -174,8 +178,8 @@
         .collect()
     }
 
-    fn bound(&mut self) {
-        if self.records.len() <= BOUND {
+    fn evict_over_limit(&mut self) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
         let first = self
@@ -188,12 +192,12 @@
     }
 }
 
-/// How a run that crashed was placed among the others.
+/// Position of a crashed run among the other starts.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Run {
-    pub(crate) turn: Seq,
-    /// The number of the next start.
+pub(crate) struct CrashedRun {
+    pub(crate) seq: Seq,
+    /// The next start at the time of the crash.
     pub(crate) next: Seq,
-    /// Nothing else ran beside it.
-    pub(crate) alone: bool,
+    /// Whether nothing else ran beside it.
+    pub(crate) isolated: bool,
 }
