--- a/crates/gate/src/core.rs
+++ b/crates/gate/src/core.rs
@@ -1,4 +1,4 @@
-//! The decisions of a gate, without clock, lock or task.
+//! The admission and scheduling logic of a gate, free of clocks, locks and tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -24,20 +24,20 @@
 pub(crate) struct Held {
     pub(crate) request: Request,
     pub(crate) since: Instant,
-    pub(crate) turn: Seq,
+    pub(crate) seq: Seq,
     pub(crate) dispatched: bool,
-    /// The target's pace when it was dispatched, in hundredths; 0 where it doesn't tell.
+    /// The target's pace at dispatch, in hundredths; 0 if the target does not report one.
     pub(crate) pace: u16,
-    /// How many ran when it was dispatched, itself included.
+    /// Number of requests that held a slot at dispatch, this one included.
     pub(crate) concurrency: usize,
 }
 
 impl Held {
-    pub(crate) fn new(request: Request, since: Instant, turn: Seq) -> Held {
+    pub(crate) fn new(request: Request, since: Instant, seq: Seq) -> Held {
         Held {
             request,
             since,
-            turn,
+            seq,
             dispatched: false,
             pace: 0,
             concurrency: 0,
@@ -45,10 +45,10 @@
     }
 }
 
-/// The exact count of what runs and waits at one target, and the rules by which it changes.
+/// The running and waiting requests of one target, and the rules for admitting them.
 ///
-/// All times come from the caller and may only rise. After each call, take the [`Event`]s from
-/// [`Core::poll`]; call it again no later than [`Core::next_timer`] says.
+/// All times are supplied by the caller and must not decrease. After each call, take the
+/// [`Event`]s from [`Core::poll`], and call it again no later than [`Core::next_timer`].
 ///
 /// ```
 /// use std::time::Duration;
@@ -88,33 +88,34 @@
     pub(crate) lanes: [Lane; 3],
     pub(crate) quarantine: Quarantine,
     pub(crate) waiting: BTreeMap<Id, Request>,
-    /// Waiting requests that others wait for.
+    /// Waiting requests that another request waits for.
     pub(crate) nested: BTreeSet<Id>,
-    /// Waiting requests of each urgency by deadline.
+    /// Waiting requests by deadline, per urgency.
     pub(crate) deadlines: [BTreeSet<(Instant, Id)>; 3],
     pub(crate) held: BTreeMap<Id, Held>,
-    /// Held requests by age.
+    /// Held requests by start time, or by dispatch time once dispatched.
     pub(crate) ages: BTreeSet<(Instant, Id)>,
-    /// Held requests of each urgency.
-    pub(crate) held_by: [usize; 3],
+    /// Number of held requests per urgency.
+    pub(crate) held_by_urgency: [usize; 3],
     pub(crate) last_urgent: Option<Instant>,
-    pub(crate) last_quick: Option<Instant>,
+    pub(crate) last_quick_answer: Option<Instant>,
     pub(crate) last_start: Option<Instant>,
-    /// Requests that found all used slots taken, since one was last started beyond them.
-    pub(crate) pressed: u32,
-    /// Starts of more urgent work since each urgency's last turn.
-    pub(crate) passed: [u32; 3],
+    /// Requests that arrived while the limit was reached, since a request last started beyond it.
+    pub(crate) blocked_arrivals: u32,
+    /// Starts of more urgent requests that passed over the waiting requests of each urgency since its
+    /// last start.
+    pub(crate) passed_over: [u32; 3],
     pub(crate) tokens: token::Table,
     pub(crate) suspects: suspect::Table,
-    pub(crate) pause: Option<Instant>,
-    /// When a target that looks stuck has its limit cut again.
-    pub(crate) stall: Option<Instant>,
+    pub(crate) paused_until: Option<Instant>,
+    /// When the limit is next cut if the target still appears stalled.
+    pub(crate) next_stall_cut: Option<Instant>,
     pub(crate) down: bool,
     pub(crate) leaving: bool,
     pub(crate) hot: bool,
     pub(crate) pace: Pace,
     pub(crate) answered: u32,
-    pub(crate) next_turn: Seq,
+    pub(crate) next_seq: Seq,
     pub(crate) events: Vec<Event>,
     next_id: u64,
 }
@@ -135,31 +136,31 @@
             deadlines: Default::default(),
             held: BTreeMap::new(),
             ages: BTreeSet::new(),
-            held_by: [0; 3],
+            held_by_urgency: [0; 3],
             last_urgent: None,
-            last_quick: None,
+            last_quick_answer: None,
             last_start: None,
-            pressed: 0,
-            passed: [0; 3],
+            blocked_arrivals: 0,
+            passed_over: [0; 3],
             tokens: token::Table::new(setting.tokens, setting.grace),
             suspects: suspect::Table::new(&setting),
-            pause: None,
-            stall: None,
+            paused_until: None,
+            next_stall_cut: None,
             down: false,
             leaving: false,
             hot: false,
             pace: Pace::default(),
             answered: 0,
-            next_turn: 0,
+            next_seq: 0,
             events: Vec::new(),
             next_id: 0,
             setting,
         }
     }
 
-    /// Asks for a slot.
+    /// Requests a slot.
     pub fn offer(&mut self, now: Instant, request: Request) -> Verdict {
-        self.age(now);
+        self.expire(now);
         if request.urgency == Urgency::Urgent {
             self.last_urgent = Some(now);
         }
@@ -167,21 +168,21 @@
             let left = goal.saturating_duration_since(now);
             self.latency.record_goal(request.class, left);
         }
-        if let Some(cause) = self.objection(now, &request) {
+        if let Some(cause) = self.admission_cause(now, &request) {
             return Verdict::Refuse(self.refuse_new(now, &request, cause));
         }
         let id = Id(self.next_id);
         self.next_id += 1;
         if self.held.len() >= self.limit.now() {
-            self.pressed = self.pressed.saturating_add(1);
+            self.blocked_arrivals = self.blocked_arrivals.saturating_add(1);
         }
         self.enqueue(now, id, request);
-        self.welcome(now);
+        self.start_on_arrival(now);
         self.verdict(id)
     }
 
-    /// Why this request is not let in at all.
-    fn objection(&self, now: Instant, request: &Request) -> Option<Cause> {
+    /// Returns the cause for refusing this request on arrival, if there is one.
+    fn admission_cause(&self, now: Instant, request: &Request) -> Option<Cause> {
         match self.tokens.state(request.token) {
             Some(State::Fenced | State::Refused) => return Some(Cause::Fenced),
             Some(_) => return Some(Cause::Duplicate),
@@ -205,7 +206,7 @@
             Standing::Suspect => None,
             Standing::Unsuspected if self.is_better_elsewhere(now, request) => Some(Cause::Full),
             Standing::Unsuspected if request.nested && self.has_nested_room() => None,
-            Standing::Unsuspected => self.forecast_objection(now, request),
+            Standing::Unsuspected => self.forecast_cause(now, request),
         }
     }
 
@@ -233,7 +234,7 @@
         self.waiting.insert(id, request);
     }
 
-    /// Takes a heavier member's newest request out of a full lane.
+    /// Evicts the newest request of a member with a larger share from a full lane.
     fn make_room(&mut self, now: Instant, request: &Request) {
         let lane = &self.lanes[request.urgency.rank()];
         if lane.len() < self.setting.queue {
@@ -244,7 +245,7 @@
         }
     }
 
-    /// The fate of a request just offered, taken out of the events.
+    /// Returns the decision on a request that was just offered, removing its event from the queue.
     pub(crate) fn verdict(&mut self, id: Id) -> Verdict {
         let own = |event: &Event| match event {
             Event::Start { id: other } | Event::Refuse { id: other, .. } => *other == id,
@@ -258,7 +259,7 @@
         }
     }
 
-    /// The caller of a waiting request has gone away; false when it does not wait.
+    /// Cancels a waiting request whose caller has disconnected. Returns false if it is not waiting.
     pub fn cancel(&mut self, now: Instant, id: Id) -> bool {
         let Some(request) = self.take_waiting(id) else {
             return false;
@@ -268,18 +269,18 @@
         true
     }
 
-    /// The run of a dispatched request took so much work at the target, without the calls that the
-    /// target made for it.
+    /// Records the work that a dispatched request caused at the target, excluding the time of the
+    /// calls that the target made for it.
     pub fn record_work(&mut self, now: Instant, id: Id, work: Duration) {
         if let Some(held) = self.held.get(&id) {
             let run = (held.request.class, held.concurrency, held.pace);
-            self.watch_knee(now, run, work);
+            self.update_knee(now, run, work);
         }
     }
 
-    /// The request leaves for the target: from here on nothing can refuse it.
+    /// Marks the request as sent to the target. From here on it can no longer be refused.
     ///
-    /// False when the id holds no slot, or was dispatched before.
+    /// Returns false if the id holds no slot or was already dispatched.
     pub fn dispatch(&mut self, now: Instant, id: Id) -> bool {
         let concurrency = self.held.len();
         let Some(held) = self.held.get_mut(&id) else {
@@ -297,7 +298,7 @@
         true
     }
 
-    /// Gives a slot back undispatched; none when the id holds no slot or was dispatched.
+    /// Releases a slot without dispatch. Returns `None` if the id holds no slot or was dispatched.
     pub fn refuse(&mut self, now: Instant, id: Id, cause: Cause) -> Option<Refusal> {
         if self.held.get(&id)?.dispatched {
             return None;
@@ -309,16 +310,16 @@
         Some(self.refusal(now, &held.request, cause))
     }
 
-    /// What the gate knows of a token.
+    /// Returns what the gate knows about a token.
     pub fn status(&mut self, now: Instant, token: Token) -> Status {
         self.tokens.expire(now);
         self.tokens.status(token)
     }
 
-    /// Makes sure that a token never runs here, if it has not begun to.
+    /// Ensures that a token never runs here, unless it is already running or has run.
     ///
-    /// `deadline` is that of the request; the answer is [`Fence::Unsure`] when it is so long
-    /// past that the gate may have forgotten the token. A token that holds a slot counts as
+    /// `deadline` is the deadline of the request. The result is [`Fence::Unsure`] if it passed so
+    /// long ago that the gate may have forgotten the token. A token that holds a slot counts as
     /// running even if it is not dispatched yet.
     pub fn fence(&mut self, now: Instant, token: Token, deadline: Instant) -> Fence {
         self.tokens.expire(now);
@@ -338,19 +339,20 @@
         }
     }
 
-    /// The target leaves: what waits and what comes is refused, what runs may end.
+    /// Starts the shutdown of the target: waiting and new requests are refused, running ones may
+    /// finish.
     pub fn leave(&mut self, now: Instant) {
         self.leaving = true;
         self.refuse_all(now, Cause::Leaving);
     }
 
-    /// The target can't be reached: what waits and what comes is refused.
+    /// Marks the target as unreachable: waiting and new requests are refused.
     pub fn target_down(&mut self, now: Instant) {
         self.down = true;
         self.refuse_all(now, Cause::Down);
     }
 
-    /// The target can be reached again; it gets its share back by answers given.
+    /// Marks the target as reachable again. Its limit starts low and grows with each answer.
     pub fn target_up(&mut self, now: Instant) {
         if std::mem::take(&mut self.down) {
             self.limit.reset_cold();
@@ -358,25 +360,27 @@
         }
     }
 
-    /// The target has started a moment ago, and is slower than usual for a while.
+    /// Records that the target has just started and will be slower than usual for a while.
     pub fn target_cold(&mut self) {
         self.pace.reset_cold();
     }
 
-    /// The target has started anew: what was learnt of its speed and its slots is of the start before.
+    /// Resets what was learnt about the target's speed and capacity, because its process has
+    /// restarted.
     ///
-    /// Its answers count from nothing, so that entries send it little at first. Tokens stay, for what
-    /// the start before was sent may have run; so do suspicions, for what has crashed it will again.
+    /// The count of answers starts again from zero, so that entries send it little at first. Tokens
+    /// are kept, because requests sent to the previous process may have run. Suspicions are kept
+    /// too, because a request that crashed the previous process would crash this one.
     pub fn target_restarted(&mut self, now: Instant) {
         self.answered = 0;
         self.knee = Knee::new(now, self.limit.slots());
         self.limit.reset_cold();
         self.limit.follow_knee(self.knee.best());
-        self.pause = None;
+        self.paused_until = None;
         self.advance(now);
     }
 
-    /// The target is there and takes work, with so many slots; a new life of it perhaps.
+    /// Marks the target as accepting work with this many slots, possibly after a restart.
     pub fn target_ready(&mut self, now: Instant, slots: u16) {
         self.leaving = false;
         if self.limit.slots() != usize::from(slots.max(1)) {
@@ -390,7 +394,7 @@
         self.advance(now);
     }
 
-    /// The target tells how long work takes at it now, in hundredths of what it usually takes.
+    /// Updates the target's reported pace: run time relative to the usual one, in hundredths.
     pub fn set_pace(&mut self, now: Instant, pace: u16) {
         if self.pace.update(now, pace) {
             self.refuse_delayed(now);
@@ -398,8 +402,8 @@
         self.advance(now);
     }
 
-    /// How a request of this kind is treated. Where suspects don't run alone, they are treated as
-    /// all others until they are convicted.
+    /// Returns how a request of this kind is treated. If suspects are not isolated, they are
+    /// treated like any other request until they are convicted.
     pub(crate) fn standing(&self, now: Instant, kind: Digest) -> Standing {
         match self.suspects.standing(now, kind) {
             Standing::Suspect if !self.setting.isolate_suspects => Standing::Unsuspected,
@@ -407,36 +411,36 @@
         }
     }
 
-    /// What is held against kinds of requests here.
+    /// Lists the kinds of requests that are suspected or convicted here.
     pub fn suspects(&self, now: Instant) -> Vec<Suspicion> {
         self.suspects.list(now)
     }
 
-    /// Takes a suspicion that another gate has found.
+    /// Adopts a suspicion reported by another gate.
     pub fn learn(&mut self, now: Instant, suspicion: &Suspicion) {
-        self.suspects.learn(now, suspicion, self.next_turn);
+        self.suspects.learn(now, suspicion, self.next_seq);
         self.refuse_convicted(now, suspicion.kind);
         self.advance(now);
     }
 
-    /// Requests that hold a slot.
+    /// Number of requests that hold a slot.
     pub fn running(&self) -> usize {
         self.held.len()
     }
 
-    /// Requests that wait.
+    /// Number of requests that wait for a slot.
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    fn age(&mut self, now: Instant) {
+    fn expire(&mut self, now: Instant) {
         self.tokens.expire(now);
         self.suspects.expire(now);
     }
 
-    /// Brings everything up to `now` and takes what has happened to waiting requests.
+    /// Advances the state to `now` and returns the events of waiting requests since the last call.
     pub fn poll(&mut self, now: Instant) -> Vec<Event> {
-        self.age(now);
+        self.expire(now);
         self.advance(now);
         std::mem::take(&mut self.events)
     }
--- a/crates/gate/src/dump.rs
+++ b/crates/gate/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a gate as its operator sees it.
+//! The diagnostic dump of a gate.
 
 use serde::Serialize;
 use tokio::time::Instant;
@@ -9,44 +9,44 @@
 use crate::limit::Law;
 use crate::suspect::Suspicion;
 
-/// Most callers named in a dump.
-const CALLERS: usize = 20;
+/// Maximum number of callers listed in a dump.
+const MAX_CALLERS: usize = 20;
 
-/// The state of a gate.
+/// A snapshot of a gate's state for operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct Dump {
-    /// Counts, limit and service time as entries hear them.
+    /// Counts, limit and service time as reported to entries.
     pub report: Report,
-    /// Configured slots.
+    /// Number of configured slots.
     pub slots: usize,
     /// How the limit follows the latency.
     pub law: Law,
-    /// Mean ratio of the last answers' latency to the usual one.
+    /// Smoothed ratio of recent latencies to the usual latency.
     pub strain: f64,
-    /// Callers with the longest queues, at most 20.
+    /// The 20 callers with the longest queues, or fewer.
     pub callers: Vec<Waiting>,
-    /// Suspects that wait to run alone.
+    /// Number of suspects waiting to run in isolation.
     pub quarantine: usize,
-    /// Tokens that are queued, running, done or fenced.
+    /// Number of tokens that are queued, running, done or fenced.
     pub tokens: usize,
-    /// Tokens among them that are fenced.
+    /// Number of fenced tokens, included in `tokens`.
     pub fences: usize,
-    /// What is held against kinds of requests.
+    /// Kinds of requests that are suspected or convicted.
     pub suspects: Vec<Suspicion>,
-    /// The target has asked for a pause.
+    /// Whether the target has asked for a pause.
     pub paused: bool,
-    /// The target can't be reached.
+    /// Whether the target is unreachable.
     pub down: bool,
-    /// The target leaves.
+    /// Whether the target is shutting down.
     pub leaving: bool,
 }
 
 impl Core {
-    /// The state of this gate.
+    /// Returns a snapshot of this gate's state.
     pub fn dump(&self, now: Instant) -> Dump {
         let mut callers: Vec<Waiting> = self.lanes.iter().flat_map(|lane| lane.waiting()).collect();
         callers.sort_by(|a, b| b.queued.cmp(&a.queued).then(a.caller.cmp(&b.caller)));
-        callers.truncate(CALLERS);
+        callers.truncate(MAX_CALLERS);
         Dump {
             report: self.report(now),
             slots: self.limit.slots(),
@@ -57,7 +57,7 @@
             tokens: self.tokens.kept(),
             fences: self.tokens.fences(),
             suspects: self.suspects(now),
-            paused: self.pause.is_some_and(|until| until > now),
+            paused: self.paused_until.is_some_and(|until| until > now),
             down: self.down,
             leaving: self.leaving,
         }
--- a/crates/gate/src/forecast.rs
+++ b/crates/gate/src/forecast.rs
@@ -1,4 +1,4 @@
-//! What the gate expects: waits, stalls, and whether it would rather be passed over.
+//! Estimates waits and detects stalls, and derives from them whether the gate is hot.
 
 use std::time::Duration;
 
@@ -11,35 +11,36 @@
 use crate::request::Request;
 use crate::suspect::Standing;
 
-/// Room is kept for urgent requests this long after the last one came, so that a target without
-/// urgent work has all its slots.
-const URGENT_MEMORY: Duration = Duration::from_secs(1);
-/// Silence of the target, in usual service times, from which it looks stuck.
-const STALL: f64 = 3.0;
-/// Added to [`STALL`] for a single running request, and less for more: few requests are often
-/// silent for long by chance.
-const STALL_FEW: f64 = 9.0;
-/// Fewest running requests that can look stuck, where there are as many slots.
-const STALL_LEAST: usize = 3;
-/// Usual service times without a start after which a probe is due.
-const PROBE: u32 = 8;
-/// Of the requests that find all used slots taken, one in so many may try a slot of which it is not known
-/// whether it is worth using. What that costs ends with the runs that the knee wants to see.
-const EXPLORE: u32 = 2;
-/// Bounds of what a refused caller is told to wait.
-const RETRY_LEAST: Duration = Duration::from_millis(1);
-const RETRY_MOST: Duration = Duration::from_secs(5);
+/// Slots stay reserved for urgent requests for this long after the last one arrived, so that a
+/// target without urgent work can use all its slots.
+const RESERVE_PERIOD: Duration = Duration::from_secs(1);
+/// Time without a quick answer, in usual service times, after which the target appears stalled.
+const STALL_SERVICE_TIMES: f64 = 3.0;
+/// Added to [`STALL_SERVICE_TIMES`] for a single running request, and divided by their number for
+/// more: with few running requests, long gaps between answers are common.
+const STALL_EXTRA: f64 = 9.0;
+/// Minimum number of running requests for a stall, if the target has that many slots.
+const STALL_MIN_RUNNING: usize = 3;
+/// Time without a start, in usual service times, after which a probe is due.
+const PROBE_SERVICE_TIMES: u32 = 8;
+/// One in this many requests that arrive at the limit may use a slot that [`crate::knee`] has too
+/// few runs for. The cost is bounded, because it ends once enough runs are recorded.
+const EXPLORE_EVERY: u32 = 2;
+/// Bounds of the retry delay reported to a refused caller.
+const RETRY_MIN: Duration = Duration::from_millis(1);
+const RETRY_MAX: Duration = Duration::from_secs(5);
 
 impl Core {
-    /// Why a request that is no suspect should not wait here.
-    pub(crate) fn forecast_objection(&self, now: Instant, request: &Request) -> Option<Cause> {
+    /// Returns the cause for refusing a request that is not a suspect, if its expected wait is too
+    /// long.
+    pub(crate) fn forecast_cause(&self, now: Instant, request: &Request) -> Option<Cause> {
         let lane = &self.lanes[request.urgency.rank()];
         let full = lane.len() >= self.setting.queue;
         if full && lane.victim(&request.caller, request.weight).is_none() {
             return Some(Cause::Full);
         }
         let wait = self.wait(now, request);
-        let blame = |cause| match self.pause {
+        let or_shed = |cause| match self.paused_until {
             Some(until) if until > now => Cause::Shed,
             _ => cause,
         };
@@ -47,22 +48,22 @@
             let run = self.run_time(now, request) + self.latency.spread_of(request);
             let free = wait.is_zero() && self.is_worth_starting(now, request);
             let met = free || now + wait + run <= goal;
-            return (!met).then(|| blame(Cause::Full));
+            return (!met).then(|| or_shed(Cause::Full));
         }
         let wait = wait + self.slowdown_left(now, request);
         if wait > self.setting.wait {
-            return Some(blame(Cause::Full));
+            return Some(or_shed(Cause::Full));
         }
         let run = self.service(now, request.urgency);
         let margin = self.latency.margin(now, request.urgency).min(wait);
-        let idle = self.held.is_empty() && self.waiting.is_empty() && self.pause.is_none();
+        let idle = self.held.is_empty() && self.waiting.is_empty() && self.paused_until.is_none();
         let free = idle || self.probe_due(now);
         let late = !free && now + wait + run + margin > request.deadline;
-        late.then(|| blame(Cause::Deadline))
+        late.then(|| or_shed(Cause::Deadline))
     }
 
-    /// Expected wait of a request that comes now: for the pause, for a suspect's turn, and for
-    /// the requests that run over the limit or start before it.
+    /// Expected wait of a request that arrives now: the rest of a pause, the turn of a suspect, and
+    /// the requests that run beyond the limit or start before it.
     pub(crate) fn wait(&self, now: Instant, request: &Request) -> Duration {
         if request.nested {
             return self.wait_of_nested(now);
@@ -73,44 +74,44 @@
         self.wait_behind(now, request.urgency, more_urgent + own)
     }
 
-    /// As [`Core::wait`], with the rest of a slow spell.
-    fn whole_wait(&self, now: Instant, request: &Request) -> Duration {
+    /// Like [`Core::wait`], plus the expected rest of a slowdown.
+    fn wait_with_slowdown(&self, now: Instant, request: &Request) -> Duration {
         self.wait(now, request) + self.slowdown_left(now, request)
     }
 
-    /// As [`Core::wait`] for a request that another waits for: it is the next to start, in any slot, behind
-    /// those like it. Taken for one that waits its turn, it was refused for want of time at four gates
-    /// in a row, and the run that waited for it was lost.
+    /// Like [`Core::wait`], for a nested request: it starts next, in any free slot, behind other
+    /// nested requests only. Estimated like other requests, a nested one was refused for lack of
+    /// time at four gates in a row, and the run that waited for it was lost.
     fn wait_of_nested(&self, now: Instant) -> Duration {
         let service = self.service_now(now);
         let slots = self.limit.slots();
         let starts = (self.held.len() + self.nested.len() + 1).saturating_sub(slots);
-        self.hold(now, service) + service.mul_f64(starts as f64 / slots as f64)
+        self.expected_hold(now, service) + service.mul_f64(starts as f64 / slots as f64)
     }
 
-    /// How long nothing at all starts.
-    fn hold(&self, now: Instant, service: Duration) -> Duration {
+    /// Expected time during which nothing can start.
+    fn expected_hold(&self, now: Instant, service: Duration) -> Duration {
         let pause = self
-            .pause
+            .paused_until
             .map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
         pause + self.quarantine.expected_hold(now, service)
     }
 
     fn wait_behind(&self, now: Instant, urgency: Urgency, ahead: usize) -> Duration {
         let service = self.service_now(now);
-        let hold = self.hold(now, service);
+        let hold = self.expected_hold(now, service);
         let (limit, busy) = match urgency {
             Urgency::Urgent => (self.limit.now(), self.held.len()),
-            _ => (self.lower_limit(now), self.lower_busy(now)),
+            _ => (self.non_urgent_limit(now), self.non_urgent_busy(now)),
         };
         let starts = (busy + ahead + 1).saturating_sub(limit);
         hold + service.mul_f64(starts as f64 / limit as f64)
     }
 
-    /// Slots that requests below urgent may take.
-    pub(crate) fn lower_limit(&self, now: Instant) -> usize {
+    /// Number of slots available to requests that are not urgent.
+    pub(crate) fn non_urgent_limit(&self, now: Instant) -> usize {
         let limit = self.limit.now();
-        let recent = |last: Instant| now.saturating_duration_since(last) < URGENT_MEMORY;
+        let recent = |last: Instant| now.saturating_duration_since(last) < RESERVE_PERIOD;
         if limit < 2 || self.setting.reserve <= 0.0 || !self.last_urgent.is_some_and(recent) {
             return limit;
         }
@@ -118,28 +119,29 @@
         limit - reserve as usize
     }
 
-    /// Slots that are lost to requests below urgent, their own and what urgent work takes of
-    /// their part.
-    fn lower_busy(&self, now: Instant) -> usize {
-        let reserve = self.limit.now() - self.lower_limit(now);
-        let urgent = self.held_by[Urgency::Urgent.rank()];
+    /// Number of those slots in use: by requests that are not urgent, and by urgent ones beyond the
+    /// reserve.
+    fn non_urgent_busy(&self, now: Instant) -> usize {
+        let reserve = self.limit.now() - self.non_urgent_limit(now);
+        let urgent = self.held_by_urgency[Urgency::Urgent.rank()];
         self.held.len() - urgent + urgent.saturating_sub(reserve)
     }
 
-    /// Service time over all; when the running requests look stuck, their age, as the target has
-    /// slowed down though no answer has said so yet.
+    /// Service time over all requests. If the running requests appear stalled, it is at least their
+    /// age, since the target has slowed down although no answer shows it yet.
     pub(crate) fn service_now(&self, now: Instant) -> Duration {
         let mean = self.pace.between_slowdowns(now, self.latency.mean());
         let mean = match self.latency.has_converged() {
             true => mean,
-            false => self.held_time(now).unwrap_or(mean),
+            false => self.held_service(now).unwrap_or(mean),
         };
-        self.or_stuck(now, mean)
+        self.or_stall_age(now, mean)
     }
 
-    /// The service time by what is expected of the running requests: the mean by which their slots
-    /// are given back, in which short runs count more than long ones. None if nothing is known of them.
-    fn held_time(&self, now: Instant) -> Option<Duration> {
+    /// Service time estimated from the running requests. It is the harmonic mean of their expected
+    /// times, since that determines the rate at which slots are freed. Returns `None` if nothing is
+    /// known about them.
+    fn held_service(&self, now: Instant) -> Option<Duration> {
         let time = |held: &Held| {
             let usual = self.latency.expected_of(now, &held.request);
             let time = usual.as_secs_f64() * pace::factor(held.pace);
@@ -153,102 +155,109 @@
         Some(Duration::from_secs_f64(times.len() as f64 / ends_a_second))
     }
 
-    /// A service time, or the age of the running requests where they look stuck for longer.
-    fn or_stuck(&self, now: Instant, service: Duration) -> Duration {
-        self.stuck(now).map_or(service, |age| age.max(service))
+    /// Returns the service time, or the age of the stall if that is longer.
+    fn or_stall_age(&self, now: Instant, service: Duration) -> Duration {
+        self.stall_age(now).map_or(service, |age| age.max(service))
     }
 
     fn service(&self, now: Instant, urgency: Urgency) -> Duration {
         let expected = self.latency.expected(now, urgency);
-        self.or_stuck(now, expected)
+        self.or_stall_age(now, expected)
     }
 
-    /// Since when the target has let at least half of its running requests wait and has answered
-    /// none quickly.
+    /// Start of the current silence: since then, at least half of the running requests have waited
+    /// without any quick answer.
     fn silent_since(&self) -> Option<Instant> {
         let middle = self.ages.len() / 2;
         let (since, _) = self.ages.iter().nth(middle)?;
-        Some(self.last_quick.map_or(*since, |last| last.max(*since)))
+        Some(
+            self.last_quick_answer
+                .map_or(*since, |last| last.max(*since)),
+        )
     }
 
-    /// Usual service time of the running requests, each counted with that of its urgency, so
-    /// that long exports of one urgency are not held for a stuck target.
+    /// Usual service time of the running requests. Each counts with the usual time of its own
+    /// urgency, so that long exports of one urgency do not look like a stalled target.
     fn usual(&self) -> Option<Duration> {
         let mut sum = Duration::ZERO;
         for urgency in Urgency::ALL {
-            sum += self.latency.usual(urgency)? * self.held_by[urgency.rank()] as u32;
+            sum += self.latency.usual(urgency)? * self.held_by_urgency[urgency.rank()] as u32;
         }
         sum.checked_div(self.held.len() as u32)
     }
 
-    /// Silence from which the running requests look stuck; one or two of many slots are not
-    /// enough, as a single long export must not close the gate to everything else.
+    /// Length of silence after which the running requests appear stalled. One or two out of many
+    /// slots are not enough, because a single long export must not block all other requests.
     fn stall_after(&self) -> Option<Duration> {
         let count = self.held.len();
-        if count < STALL_LEAST.min(self.limit.slots()) {
+        if count < STALL_MIN_RUNNING.min(self.limit.slots()) {
             return None;
         }
-        Some(self.usual()?.mul_f64(STALL + STALL_FEW / count as f64))
+        Some(
+            self.usual()?
+                .mul_f64(STALL_SERVICE_TIMES + STALL_EXTRA / count as f64),
+        )
     }
 
     fn stall_at(&self) -> Option<Instant> {
         Some(self.silent_since()? + self.stall_after()?)
     }
 
-    /// How long the running requests have been stuck, if they look so.
-    fn stuck(&self, now: Instant) -> Option<Duration> {
-        let stuck = self.stall_at().is_some_and(|at| at <= now);
-        stuck.then(|| now - self.silent_since().unwrap_or(now))
+    /// How long the running requests have been stalled, if they appear to be.
+    fn stall_age(&self, now: Instant) -> Option<Duration> {
+        let is_stalled = self.stall_at().is_some_and(|at| at <= now);
+        is_stalled.then(|| now - self.silent_since().unwrap_or(now))
     }
 
-    /// When one request may start over a shrunk limit, to ask how the target is.
+    /// When one request may start beyond a reduced limit, to probe the target.
     ///
-    /// What is under way was started in worse times, and its slots may stay taken for many
-    /// service times after the target is well. Without the probe nothing would tell us.
+    /// The running requests started while the target was slow and may hold their slots for many
+    /// service times after it has recovered. Without the probe, the gate would not notice the
+    /// recovery.
     fn probe_at(&self) -> Option<Instant> {
         let held = self.held.len();
         if held >= self.limit.slots() || self.limit.now() >= self.limit.slots() {
             return None;
         }
-        Some(self.last_start? + self.usual()? * PROBE)
+        Some(self.last_start? + self.usual()? * PROBE_SERVICE_TIMES)
     }
 
     pub(crate) fn probe_due(&self, now: Instant) -> bool {
         self.probe_at().is_some_and(|at| at <= now)
     }
 
-    /// Whether one request may start over the limit, to find out what the target can do.
+    /// Whether one request may start beyond the limit, to probe the target or to explore a slot.
     pub(crate) fn may_exceed(&self, now: Instant) -> bool {
-        self.probe_due(now) || self.explores()
+        self.probe_due(now) || self.is_exploration_due()
     }
 
-    /// Whether it is the turn of a start that tries slots of which nothing is known.
-    fn explores(&self) -> bool {
-        self.pressed >= EXPLORE
+    /// Whether the next start should use a slot that the knee has too few runs for.
+    fn is_exploration_due(&self) -> bool {
+        self.blocked_arrivals >= EXPLORE_EVERY
             && self.limit.follows_knee()
             && self.knee.needs_samples(self.held.len() + 1)
     }
 
-    /// When [`Core::poll`] may find the target stuck, or a probe due.
-    pub(crate) fn trouble_timer(&self, now: Instant) -> Option<Instant> {
+    /// When [`Core::poll`] may next detect a stall or find a probe due.
+    pub(crate) fn stall_timer(&self, now: Instant) -> Option<Instant> {
         let stall = self.stall_at();
-        let stall = stall.map(|at| self.stall.map_or(at, |again| again.max(at)));
+        let stall = stall.map(|at| self.next_stall_cut.map_or(at, |again| again.max(at)));
         let times = [stall, self.probe_at()].into_iter().flatten();
         times.filter(|at| *at > now).min()
     }
 
-    /// Cuts the limit when the running requests look stuck, and again each time that the silence
-    /// has doubled: the first slow answer would come only after the whole slow service time.
-    pub(crate) fn watch_stall(&mut self, now: Instant) {
-        let Some(age) = self.stuck(now) else {
-            self.stall = None;
+    /// Cuts the limit when the running requests appear stalled, and again each time the silence has
+    /// doubled. Waiting for a slow answer instead would take a whole slow service time.
+    pub(crate) fn check_stall(&mut self, now: Instant) {
+        let Some(age) = self.stall_age(now) else {
+            self.next_stall_cut = None;
             return;
         };
-        if self.stall.is_some_and(|again| now < again) {
+        if self.next_stall_cut.is_some_and(|again| now < again) {
             return;
         }
-        self.stall = Some(now + age);
-        self.limit.cut(self.next_turn, self.next_turn);
+        self.next_stall_cut = Some(now + age);
+        self.limit.cut(self.next_seq, self.next_seq);
     }
 
     pub(crate) fn update_hot(&mut self, now: Instant) {
@@ -256,7 +265,7 @@
     }
 
     fn is_hot(&self, now: Instant) -> bool {
-        if self.down || self.leaving || self.pause.is_some() {
+        if self.down || self.leaving || self.paused_until.is_some() {
             return true;
         }
         let waiting: usize = self.lanes.iter().map(|lane| lane.len()).sum();
@@ -270,17 +279,18 @@
         self.wait_behind(now, Urgency::Routine, waiting) > bound
     }
 
-    /// Whether the gate would rather be passed over; as of the last call that took `&mut self`.
+    /// Whether the gate would prefer requests to go elsewhere, as of the last call that took `&mut
+    /// self`.
     pub fn hot(&self) -> bool {
         self.hot
     }
 
-    /// The load of this gate.
+    /// Returns the load of this gate.
     pub fn report(&self, now: Instant) -> Report {
         let narrow = |count: usize| u16::try_from(count).unwrap_or(u16::MAX);
         let queued = Urgency::ALL.map(|u| narrow(self.deadlines[u.rank()].len()));
-        // At the usual pace: the present one stands beside it.
-        let service = self.or_stuck(now, self.latency.mean()).as_micros();
+        // At the usual pace, because the report carries the current pace in a field of its own.
+        let service = self.or_stall_age(now, self.latency.mean()).as_micros();
         Report {
             running: narrow(self.held.len()),
             queued,
@@ -310,11 +320,11 @@
             Cause::Full if !self.tokens.has_room() => self.setting.down_retry,
             Cause::Suspect => match self.standing(now, request.kind) {
                 Standing::Convicted { remaining } => remaining,
-                _ => self.wait(now, request).clamp(RETRY_LEAST, RETRY_MOST),
+                _ => self.wait(now, request).clamp(RETRY_MIN, RETRY_MAX),
             },
-            Cause::Full | Cause::Deadline | Cause::Shed => {
-                self.whole_wait(now, request).clamp(RETRY_LEAST, RETRY_MOST)
-            }
+            Cause::Full | Cause::Deadline | Cause::Shed => self
+                .wait_with_slowdown(now, request)
+                .clamp(RETRY_MIN, RETRY_MAX),
         }
     }
 }
--- a/crates/gate/src/schedule.rs
+++ b/crates/gate/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Which waiting request starts next, and which has waited in vain.
+//! Chooses which waiting request starts next and which is refused.
 
 use std::time::Duration;
 
@@ -14,28 +14,29 @@
 
 /// A waiting urgency gets a start after it was passed over this often.
 ///
-/// One start in 16 keeps batch work from waiting for ever behind routine work, and costs the
-/// urgent work a sixteenth of the slots at most.
-const AGEING: u32 = 15;
+/// One start in 16 keeps batch work from starving behind routine work, and costs urgent work at
+/// most a sixteenth of the slots.
+const MAX_PASSED_OVER: u32 = 15;
 
-/// A request that waits is refused so long before its deadline at least. Its entry gives it up at
-/// the deadline, and would have to say that it may have run.
-const ANSWER_WITHIN: Duration = Duration::from_millis(10);
+/// A waiting request is refused at least this long before its deadline. Its entry gives it up at
+/// the deadline and would then have to report that it may have run.
+const REFUSAL_LEAD: Duration = Duration::from_millis(10);
 
 impl Core {
-    /// Starts a newcomer that finds a free slot.
+    /// Starts requests on an arrival, before late ones are refused.
     ///
-    /// It need not have the margin that is asked of those who wait: its slot would else be empty.
-    pub(crate) fn welcome(&mut self, now: Instant) {
-        self.watch_stall(now);
+    /// A newcomer that finds a free slot does not need the margin required of waiting requests,
+    /// because the slot would otherwise stay empty.
+    pub(crate) fn start_on_arrival(&mut self, now: Instant) {
+        self.check_stall(now);
         self.end_pause(now);
         while self.start_next(now) {}
         self.advance(now);
     }
 
-    /// Starts what may start and refuses what has waited in vain.
+    /// Starts what may start, and refuses what can no longer meet its deadline.
     pub(crate) fn advance(&mut self, now: Instant) {
-        self.watch_stall(now);
+        self.check_stall(now);
         self.end_pause(now);
         self.refuse_late(now);
         while self.start_next(now) {}
@@ -43,28 +44,28 @@
     }
 
     fn end_pause(&mut self, now: Instant) {
-        if self.pause.is_some_and(|until| until <= now) {
-            self.pause = None;
+        if self.paused_until.is_some_and(|until| until <= now) {
+            self.paused_until = None;
         }
     }
 
-    /// Refuses those whose deadline can't be met any more.
+    /// Refuses requests that can no longer meet their deadline.
     ///
-    /// An idle target is tried with one of them all the same, if its deadline is still to come:
-    /// estimates that refuse everything are never corrected.
+    /// An idle target still gets one of them, if its deadline has not passed: an estimate that
+    /// refuses everything is never corrected.
     fn refuse_late(&mut self, now: Instant) {
         self.refuse_until(now, |_, _| now);
         if self.held.is_empty() {
             self.start_next(now);
         }
-        let earliest = self.pause.unwrap_or(now);
+        let earliest = self.paused_until.unwrap_or(now);
         self.refuse_until(now, |core, urgency| {
-            earliest + core.latency.min_time_left(now, urgency).max(ANSWER_WITHIN)
+            earliest + core.latency.min_time_left(now, urgency).max(REFUSAL_LEAD)
         });
     }
 
     fn refuse_until(&mut self, now: Instant, bound: impl Fn(&Core, Urgency) -> Instant) {
-        let cause = match self.pause {
+        let cause = match self.paused_until {
             Some(_) => Cause::Shed,
             None => Cause::Deadline,
         };
@@ -84,18 +85,18 @@
         self.lanes.iter().any(|lane| lane.len() > 0)
     }
 
-    /// Whether a slot is free for a request that another waits for.
+    /// Whether a slot is free for a nested request.
     pub(crate) fn has_nested_room(&self) -> bool {
-        self.pause.is_none() && self.held.len() < self.limit.slots()
+        self.paused_until.is_none() && self.held.len() < self.limit.slots()
     }
 
-    /// Starts the first waiting request that another one waits for; see [`Request::nested`].
+    /// Starts the first waiting nested request that may start; see [`Request::nested`].
     fn start_nested(&mut self, now: Instant) -> bool {
         if !self.has_nested_room() {
             return false;
         }
         let mut waiting = self.nested.iter().copied();
-        let may = |id: &Id| self.is_innocent(now, *id) && self.may_start(now, *id);
+        let may = |id: &Id| self.is_unsuspected(now, *id) && self.may_start(now, *id);
         let Some(id) = waiting.find(may) else {
             return false;
         };
@@ -103,17 +104,17 @@
             return false;
         };
         let lane = &mut self.lanes[request.urgency.rank()];
-        // One that waits alone as a suspect is not in its lane, and keeps its turn.
+        // A suspect waits in the quarantine and not in its lane, so it keeps its turn there.
         lane.remove(&request.caller, id) && self.start(now, id)
     }
 
-    /// Starts one request, if one may start.
+    /// Starts or refuses one request. Returns false if there is nothing to do.
     fn start_next(&mut self, now: Instant) -> bool {
         if self.start_nested(now) {
             return true;
         }
         let full = self.held.len() >= self.limit.now();
-        if self.pause.is_some() || (full && !self.may_exceed(now)) {
+        if self.paused_until.is_some() || (full && !self.may_exceed(now)) {
             return false;
         }
         self.recheck_suspects(now);
@@ -136,10 +137,10 @@
         request.is_none_or(|request| self.is_worth_starting(now, request))
     }
 
-    /// Starts the first request that is worth it in a slow spell.
-    fn start_short(&mut self, now: Instant) -> bool {
+    /// Starts the first request that is worth starting during the slowdown.
+    fn start_worthwhile(&mut self, now: Instant) -> bool {
         let short = self.waiting.iter().find(|(id, request)| {
-            self.is_worth_starting(now, request) && self.is_innocent(now, **id)
+            self.is_worth_starting(now, request) && self.is_unsuspected(now, **id)
         });
         let Some((id, request)) = short else {
             return false;
@@ -150,7 +151,7 @@
 
     fn start_other(&mut self, now: Instant) -> bool {
         if self.pace.is_transiently_slow(now) {
-            return self.start_short(now);
+            return self.start_worthwhile(now);
         }
         let Some(rank) = self.next_rank(now) else {
             return false;
@@ -162,21 +163,21 @@
             self.refuse_waiting(now, id, Cause::Full);
             return true;
         }
-        if !self.is_innocent(now, id) {
-            self.divert(now, id);
+        if !self.is_unsuspected(now, id) {
+            self.move_to_quarantine(now, id);
             return true;
         }
-        self.passed[rank] = 0;
+        self.passed_over[rank] = 0;
         for lower in rank + 1..self.lanes.len() {
             if self.lanes[lower].len() > 0 {
-                self.passed[lower] += 1;
+                self.passed_over[lower] += 1;
             }
         }
         self.start(now, id)
     }
 
-    /// Whether a request can't reach its goal any more. It is then started where nothing else waits,
-    /// as a late answer is worth a little and none is worth nothing, and else refused.
+    /// Whether a request can no longer meet its goal. Such a request is refused if others wait in
+    /// the lanes, and started otherwise, because a late answer is still worth more than none.
     fn is_too_late(&self, now: Instant, id: Id) -> bool {
         let Some(request) = self.waiting.get(&id) else {
             return false;
@@ -185,16 +186,16 @@
         request.goal.is_some_and(|goal| now + run > goal)
     }
 
-    fn is_innocent(&self, now: Instant, id: Id) -> bool {
+    fn is_unsuspected(&self, now: Instant, id: Id) -> bool {
         let request = self.waiting.get(&id);
         request.is_none_or(|r| self.standing(now, r.kind) == Standing::Unsuspected)
     }
 
-    /// Lets a request that became a suspect in its lane wait for a turn alone.
+    /// Moves a request that became a suspect while in its lane to the quarantine.
     ///
-    /// The caller of a killer sends copies; those that waited when the first one crashed the
-    /// target would otherwise start beside everybody else.
-    fn divert(&mut self, now: Instant, id: Id) {
+    /// A caller whose request crashes the target often sends copies. Those that were waiting at the
+    /// first crash would otherwise start beside other requests.
+    fn move_to_quarantine(&mut self, now: Instant, id: Id) {
         let kind = self.waiting.get(&id).map(|request| request.kind);
         let standing = kind.map(|kind| self.standing(now, kind));
         if standing == Some(Standing::Suspect) && self.quarantine.has_room() {
@@ -204,7 +205,7 @@
         self.refuse_waiting(now, id, Cause::Suspect);
     }
 
-    /// Refuses all that wait of a kind that has just been convicted.
+    /// Refuses all waiting requests of this kind if it is convicted.
     pub(crate) fn refuse_convicted(&mut self, now: Instant, kind: Digest) {
         if !matches!(self.standing(now, kind), Standing::Convicted { .. }) {
             return;
@@ -216,8 +217,8 @@
         }
     }
 
-    /// Sends waiting suspects that were cleared since back to their lanes, and refuses those
-    /// that were convicted.
+    /// Moves waiting suspects that have been cleared back to their lanes, and refuses convicted
+    /// ones.
     fn recheck_suspects(&mut self, now: Instant) {
         while let Some(id) = self.quarantine.front() {
             let Some(request) = self.waiting.get(&id) else {
@@ -235,18 +236,18 @@
         }
     }
 
-    /// The urgency whose turn it is.
+    /// The rank of the urgency that may start a request next.
     fn next_rank(&self, now: Instant) -> Option<usize> {
-        let urgent = self.held_by[Urgency::Urgent.rank()];
+        let urgent = self.held_by_urgency[Urgency::Urgent.rank()];
         let lower = self.held.len() - urgent;
-        let lower_free = lower < self.lower_limit(now) || self.may_exceed(now);
+        let lower_free = lower < self.non_urgent_limit(now) || self.may_exceed(now);
         let may = |rank: &usize| {
             let reserved = *rank > Urgency::Urgent.rank();
             self.lanes[*rank].len() > 0 && (lower_free || !reserved)
         };
         let ranks = 0..self.lanes.len();
         let mut lowest_first = ranks.clone().rev().filter(may);
-        let aged = lowest_first.find(|rank| self.passed[*rank] >= AGEING);
+        let aged = lowest_first.find(|rank| self.passed_over[*rank] >= MAX_PASSED_OVER);
         aged.or_else(|| ranks.into_iter().find(may))
     }
 
@@ -255,20 +256,20 @@
             return false;
         };
         if self.held.len() >= self.limit.now() {
-            self.pressed = 0;
+            self.blocked_arrivals = 0;
         }
         self.tokens.run(request.token);
-        self.held_by[request.urgency.rank()] += 1;
+        self.held_by_urgency[request.urgency.rank()] += 1;
         self.last_start = Some(now);
         self.ages.insert((now, id));
-        let held = Held::new(request, now, self.next_turn);
-        self.next_turn += 1;
+        let held = Held::new(request, now, self.next_seq);
+        self.next_seq += 1;
         self.held.insert(id, held);
         self.events.push(Event::Start { id });
         true
     }
 
-    /// Forgets a waiting request that its lane has already given up.
+    /// Removes the records of a waiting request that is no longer in its lane.
     fn forget_waiting(&mut self, id: Id) -> Option<Request> {
         let request = self.waiting.remove(&id)?;
         self.nested.remove(&id);
@@ -277,7 +278,7 @@
         Some(request)
     }
 
-    /// Takes a waiting request out of its lane.
+    /// Removes a waiting request from its lane or the quarantine.
     pub(crate) fn take_waiting(&mut self, id: Id) -> Option<Request> {
         let request = self.forget_waiting(id)?;
         let rank = request.urgency.rank();
@@ -285,7 +286,7 @@
             self.quarantine.remove(id);
         }
         if self.lanes[rank].len() == 0 {
-            self.passed[rank] = 0;
+            self.passed_over[rank] = 0;
         }
         Some(request)
     }
@@ -307,25 +308,25 @@
         self.update_hot(now);
     }
 
-    /// When [`Core::poll`] must be called next though nothing else happens; none while no
+    /// When [`Core::poll`] must be called next if nothing else happens. Returns `None` if no
     /// request waits and the target has not asked for a pause.
     pub fn next_timer(&self, now: Instant) -> Option<Instant> {
         if self.waiting.is_empty() {
-            return self.pause;
+            return self.paused_until;
         }
-        let earliest = self.pause.unwrap_or(now);
+        let earliest = self.paused_until.unwrap_or(now);
         let late = Urgency::ALL.into_iter().filter_map(|urgency| {
             let (deadline, _) = self.deadlines[urgency.rank()].first()?;
-            let scant = self.latency.min_time_left(now, urgency).max(ANSWER_WITHIN);
-            let slack = (earliest - now) + scant;
+            let min_left = self.latency.min_time_left(now, urgency).max(REFUSAL_LEAD);
+            let slack = (earliest - now) + min_left;
             Some(deadline.checked_sub(slack).unwrap_or(now).max(now))
         });
-        let spell = self.pace.slowdown_cutoff().filter(|end| *end > now);
+        let slowdown_end = self.pace.slowdown_cutoff().filter(|end| *end > now);
         let others = [
-            self.pause,
-            spell,
+            self.paused_until,
+            slowdown_end,
             self.quarantine.timer(now),
-            self.trouble_timer(now),
+            self.stall_timer(now),
         ];
         late.chain(others.into_iter().flatten()).min()
     }
