--- a/crates/appleshore/src/assembly.rs
+++ b/crates/appleshore/src/assembly.rs
@@ -139,10 +139,10 @@
     .retry(profile.retry)
     .choice(profile.choice);
     if let Some(most) = profile.hand_overs {
-        entry = entry.hand_overs(most);
+        entry = entry.max_handovers(most);
     }
     if let Some(bound) = profile.link_within {
-        entry = entry.link_within(bound);
+        entry = entry.link_timeout(bound);
     }
     entry.build()
 }
--- a/crates/appleshore/src/links.rs
+++ b/crates/appleshore/src/links.rs
@@ -57,7 +57,7 @@
             (topic, _) => return log::warn!("links: peer={from} tells something of {topic}."),
         };
         if let Some(entry) = self.entry.get() {
-            entry.hear(from, report);
+            entry.receive_report(from, report);
         }
     }
 }
--- a/crates/appleshore/src/metric.rs
+++ b/crates/appleshore/src/metric.rs
@@ -34,38 +34,42 @@
     registry.register(
         "took_seconds",
         "From a request's head to that of its answer",
-        entry.took,
+        entry.duration,
     );
     registry.register(
         "refused_seconds",
         "From a request's head to its refusal, of requests that reached no target",
-        entry.refused,
+        entry.refusal_duration,
     );
     registry.register(
         "choice_age_seconds",
         "Age of the report behind a choice",
-        entry.age,
+        entry.report_age,
     );
     registry.register(
         "choices_blind",
         "Targets chosen without any report",
-        entry.blind,
+        entry.choices_without_report,
+    );
+    registry.register(
+        "choices_slow",
+        "Targets chosen in a slow spell",
+        entry.choices_of_slow,
     );
-    registry.register("choices_slow", "Targets chosen in a slow spell", entry.slow);
     registry.register(
         "handed_over",
         "Requests that several gates were asked for",
-        entry.handed,
+        entry.handed_over,
     );
     registry.register(
         "repeated",
         "Requests sent to more than one target",
-        entry.repeated,
+        entry.retried,
     );
     registry.register(
         "copied",
         "Requests of which a copy was sent beside the first try",
-        entry.copied,
+        entry.hedged,
     );
     let target = state.server.stats().clone();
     registry.register(
--- a/crates/appleshore/src/port.rs
+++ b/crates/appleshore/src/port.rs
@@ -13,7 +13,7 @@
 use gotham::router::builder::{DefineSingleRoute, DrawRoutes, build_simple_router};
 use gotham::state::{FromState, State, client_addr};
 use http::{HeaderMap, Method, Request, Uri};
-use nest::{Nest, Table};
+use nest::{Parent, Table};
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
@@ -39,7 +39,7 @@
             let response = entry
                 .handle(Origin::Nested(Some(nest.clone())), request)
                 .await;
-            nest.was_away(began.elapsed());
+            nest.add_nested_time(began.elapsed());
             response
         }
         .boxed()
@@ -73,7 +73,7 @@
     Origin::Outside(peer.unwrap_or(std::net::Ipv4Addr::UNSPECIFIED.into()))
 }
 
-fn nest(state: &State, nests: &Table) -> Option<Nest> {
+fn nest(state: &State, nests: &Table) -> Option<Parent> {
     let headers = HeaderMap::try_borrow_from(state)?;
     let token = headers.get(nest::HEADER)?.to_str().ok()?;
     nests.find(token.parse().ok()?)
--- a/crates/appleshore/src/profile.rs
+++ b/crates/appleshore/src/profile.rs
@@ -27,9 +27,9 @@
     pub heartbeat: Option<Duration>,
     /// The budget for tries behind the first, for each service. Its cap is shared by all entries.
     pub retry: retry::Setting,
-    /// How many gates may refuse one request; see [`entry::Builder::hand_overs`].
+    /// How many gates may refuse one request; see [`entry::Builder::max_handovers`].
     pub hand_overs: Option<u32>,
-    /// How long a request waits for a link; see [`entry::Builder::link_within`].
+    /// How long a request waits for a link; see [`entry::Builder::link_timeout`].
     pub link_within: Option<Duration>,
     /// How targets are chosen.
     pub choice: pick::Setting,
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -16,7 +16,7 @@
 
 use crate::Body;
 use crate::refusal::put;
-use crate::state::Relay;
+use crate::state::InFlight;
 
 /// The header that says what became of a request: `ran`, `not-run`, `unknown` or `already-run`.
 pub const OUTCOME: &str = "x-appleshore-outcome";
@@ -37,7 +37,7 @@
 /// What is held until an answer's body has gone to the caller.
 pub(crate) struct Hold {
     /// Counts the request as under way, for a planned stop.
-    pub(crate) _relay: Relay,
+    pub(crate) _in_flight: InFlight,
     /// The caller's place, if the rule bounds its requests.
     pub(crate) _place: Option<pick::limit::Guard>,
     /// Longest pause inside the body.
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -78,7 +78,7 @@
 
     /// Until when the try waits for a link.
     fn link_by(&self) -> Instant {
-        let bound = self.entry.setting.link_within;
+        let bound = self.entry.setting.link_timeout;
         bound.map_or(self.deadline, |bound| {
             self.deadline.min(Instant::now() + bound)
         })
--- a/crates/entry/src/builder.rs
+++ b/crates/entry/src/builder.rs
@@ -50,15 +50,15 @@
     pub(crate) dialer: Arc<Dialer>,
     pub(crate) rules: Rules,
     pub(crate) peers: Peers,
-    pub(crate) way: Duration,
+    pub(crate) network_delay: Duration,
     pub(crate) limits: Limits,
     pub(crate) held: held::Table,
     pub(crate) claims: Claims,
     pub(crate) dialect: Dialect,
     pub(crate) retry: retry::Setting,
-    pub(crate) hand_overs: Option<u32>,
+    pub(crate) max_handovers: Option<u32>,
     pub(crate) choice: pick::Setting,
-    pub(crate) link_within: Option<Duration>,
+    pub(crate) link_timeout: Option<Duration>,
 }
 
 impl Entry {
@@ -76,15 +76,15 @@
             dialer,
             rules: Arc::new(|| None),
             peers: Arc::new(|_| None),
-            way: Duration::from_micros(500),
+            network_delay: Duration::from_micros(500),
             limits: Limits::default(),
             held: held::Table::new(Size::of(8_000_000), Duration::from_secs(120)),
             claims: Claims::none(),
             dialect: Dialect::default(),
             retry: retry::Setting::default(),
-            hand_overs: None,
+            max_handovers: None,
             choice: pick::Setting::default(),
-            link_within: None,
+            link_timeout: None,
         }
     }
 }
@@ -103,8 +103,8 @@
     }
 
     /// The time one way to another zone; 0.5 ms unless set.
-    pub fn way(mut self, way: Duration) -> Builder {
-        self.way = way;
+    pub fn network_delay(mut self, network_delay: Duration) -> Builder {
+        self.network_delay = network_delay;
         self
     }
 
@@ -140,8 +140,8 @@
 
     /// How many gates may refuse one request before its caller is told; unless this is set, each
     /// hand-over is paid for out of the retry budget.
-    pub fn hand_overs(mut self, most: u32) -> Builder {
-        self.hand_overs = Some(most);
+    pub fn max_handovers(mut self, most: u32) -> Builder {
+        self.max_handovers = Some(most);
         self
     }
 
@@ -155,8 +155,8 @@
     /// set, until its deadline.
     ///
     /// Set it where links are kept in advance, so that a missing one means that nothing answers.
-    pub fn link_within(mut self, bound: Duration) -> Builder {
-        self.link_within = Some(bound);
+    pub fn link_timeout(mut self, bound: Duration) -> Builder {
+        self.link_timeout = Some(bound);
         self
     }
 
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -54,9 +54,9 @@
         origin: Origin,
         request: Request<Body>,
     ) -> Response<Body> {
-        let relay = self.relay();
+        let in_flight = self.begin_request();
         let (parts, body) = request.into_parts();
-        let answered = self.serve(&origin, &parts, body, relay).await;
+        let answered = self.serve(&origin, &parts, body, in_flight).await;
         let mut response = answered.unwrap_or_else(|refusal| self.refused(&parts, refusal));
         self.count_outcome(answer::outcome(&response));
         if self.is_closing() {
@@ -83,7 +83,7 @@
         origin: &Origin,
         parts: &Parts,
         body: Body,
-        relay: crate::Relay,
+        in_flight: crate::InFlight,
     ) -> Result<Response<Body>, Refusal> {
         // What runs here may still need its nested calls: a planned stop must not cut them off.
         let nested = matches!(origin, Origin::Nested(Some(_)));
@@ -106,7 +106,7 @@
         };
         let pause = self.setting.limits.pause;
         let hold = Hold {
-            _relay: relay,
+            _in_flight: in_flight,
             _place: place,
             pause,
         };
@@ -263,7 +263,7 @@
             // Requests are known by the service where they begin.
             Origin::Outside(_) if self.setting.dialect.origin.is_some() => self.own_name(),
             Origin::Outside(peer) => Ok(document.caller(&parts.headers, *peer)),
-            Origin::Nested(Some(nest)) => Ok(nest.context().caller.clone()),
+            Origin::Nested(Some(parent)) => Ok(parent.context().caller.clone()),
             Origin::Nested(None) => self.own_name(),
         }
     }
@@ -310,8 +310,8 @@
         })?;
         let now = Instant::now();
         let mut deadline = now + left.unwrap_or(route.timeout).min(route.timeout);
-        if let Origin::Nested(Some(nest)) = origin {
-            deadline = deadline.min(nest.context().deadline);
+        if let Origin::Nested(Some(parent)) = origin {
+            deadline = deadline.min(parent.context().deadline);
         }
         let waited = left.map_or(Duration::ZERO, |left| self.waited(rule, left));
         let outside = matches!(origin, Origin::Outside(_));
@@ -325,10 +325,10 @@
     }
 
     fn depth(&self, origin: &Origin) -> Result<Depth, Refusal> {
-        let Origin::Nested(Some(nest)) = origin else {
+        let Origin::Nested(Some(parent)) = origin else {
             return Ok(Depth(0));
         };
-        let depth = Depth(nest.context().depth.0.saturating_add(1));
+        let depth = Depth(parent.context().depth.0.saturating_add(1));
         if depth > self.setting.limits.depth {
             return Err(Refusal::not_run(Reason::TooDeep).detail(format!("depth {depth}")));
         }
@@ -347,14 +347,14 @@
 /// behind index searches one level down.
 fn urgency(origin: &Origin, route: &Route) -> Urgency {
     match origin {
-        Origin::Nested(Some(nest)) => nest.context().urgency,
+        Origin::Nested(Some(parent)) => parent.context().urgency,
         _ => route.urgency,
     }
 }
 
 fn budget(origin: &Origin) -> Budget {
     match origin {
-        Origin::Nested(Some(nest)) => Budget::Shared(nest.clone()),
+        Origin::Nested(Some(parent)) => Budget::Shared(parent.clone()),
         _ => Budget::Own(Allowance::fresh()),
     }
 }
--- a/crates/entry/src/patience.rs
+++ b/crates/entry/src/initial_timeout.rs
@@ -28,17 +28,17 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use entry::Patience;
+/// use entry::InitialTimeout;
 ///
-/// let mut patience = Patience::default();
+/// let mut timeout = InitialTimeout::default();
 /// for _ in 0..100 {
-///     patience.waited(Duration::from_millis(800));
+///     timeout.elapsed(Duration::from_millis(800));
 /// }
-/// let waited = patience.waited(Duration::from_millis(500));
-/// assert_eq!(waited, Duration::from_millis(300));
+/// let elapsed = timeout.elapsed(Duration::from_millis(500));
+/// assert_eq!(elapsed, Duration::from_millis(300));
 /// ```
 #[derive(Debug, Default)]
-pub struct Patience {
+pub struct InitialTimeout {
     /// The last callers in the order of a ring.
     recent: Vec<Duration>,
     next: usize,
@@ -46,10 +46,10 @@
     usual: Option<Duration>,
 }
 
-impl Patience {
+impl InitialTimeout {
     /// How long a caller has waited already that will wait for `left` more; zero while too little is
     /// known.
-    pub fn waited(&mut self, left: Duration) -> Duration {
+    pub fn elapsed(&mut self, left: Duration) -> Duration {
         self.note(left);
         let usual = self.usual.unwrap_or_default();
         usual.saturating_sub(left)
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use http::{HeaderMap, HeaderName, Method};
-use nest::Nest;
+use nest::Parent;
 use pick::retry::{Allowance, Cause};
 use rule::{Preference, Route};
 use tokio::time::Instant;
@@ -51,7 +51,7 @@
     /// A caller's own request.
     Own(Allowance),
     /// A nested call.
-    Shared(Nest),
+    Shared(Parent),
 }
 
 impl Budget {
@@ -75,7 +75,7 @@
     fn change<T>(&mut self, change: impl FnOnce(&mut Allowance) -> T) -> T {
         match self {
             Budget::Own(allowance) => change(allowance),
-            Budget::Shared(nest) => nest.allowance(|units| {
+            Budget::Shared(parent) => parent.allowance(|units| {
                 let mut allowance = Allowance::from_units(*units);
                 let result = change(&mut allowance);
                 *units = allowance.units();
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -21,11 +21,11 @@
 mod builder;
 mod connection;
 mod handle;
+mod initial_timeout;
 mod intake;
 mod job;
 mod once;
 mod origin;
-mod patience;
 mod port;
 mod refusal;
 pub mod server;
@@ -36,12 +36,12 @@
 
 pub use answer::OUTCOME;
 pub use builder::{Builder, Limits, Peers, Rules};
+pub use initial_timeout::InitialTimeout;
 pub use once::{Claims, Granted, NoClaim, claim_key};
 pub use origin::Origin;
-pub use patience::Patience;
 pub use port::{Bounds, Handler, Port};
 pub use refusal::{REASON, Reason, Refusal};
-pub use state::{Count, Entry, Relay};
+pub use state::{Count, Entry, InFlight};
 pub use stats::Stats;
 pub use upstream::Upstream;
 
--- a/crates/entry/src/origin.rs
+++ b/crates/entry/src/origin.rs
@@ -2,7 +2,7 @@
 
 use std::net::IpAddr;
 
-use nest::Nest;
+use nest::Parent;
 
 /// Where a request comes from.
 #[derive(Debug, Clone)]
@@ -10,5 +10,5 @@
     /// A caller on the callers' port, with its address.
     Outside(IpAddr),
     /// This instance's own target on the outbound port, with the running call that it named.
-    Nested(Option<Nest>),
+    Nested(Option<Parent>),
 }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 use unit::{Instance, Outcome, Report, Service};
 
-use crate::{Builder, Patience, Stats, Upstream};
+use crate::{Builder, InitialTimeout, Stats, Upstream};
 
 /// Routes of which something is remembered. When there are more, as after many changes of the
 /// rules, all is learnt anew.
@@ -27,7 +27,7 @@
     /// Deals the requests of each weighted route.
     wheels: Mutex<HashMap<String, Wheel>>,
     /// What callers of each route say they will wait.
-    waits: Mutex<HashMap<String, Patience>>,
+    waits: Mutex<HashMap<String, InitialTimeout>>,
     /// Entries that share the retry budget.
     members: AtomicUsize,
     closing: AtomicBool,
@@ -44,7 +44,7 @@
 }
 
 /// One request under way; a planned stop waits until all are dropped.
-pub struct Relay {
+pub struct InFlight {
     open: watch::Sender<usize>,
 }
 
@@ -132,7 +132,7 @@
         if waits.len() >= MOST_ROUTES {
             waits.clear();
         }
-        waits.entry(rule.to_string()).or_default().waited(left)
+        waits.entry(rule.to_string()).or_default().elapsed(left)
     }
 
     /// Notes whether there is a link to `instance`.
@@ -143,7 +143,7 @@
     }
 
     /// Takes in a report that a gate has sent of its own accord.
-    pub fn hear(&self, instance: &Instance, report: Report) {
+    pub fn receive_report(&self, instance: &Instance, report: Report) {
         let now = Instant::now();
         for upstream in self.upstreams.lock().values() {
             upstream.pick.hear(now, instance, report);
@@ -189,9 +189,9 @@
         drop(open.wait_for(|open| *open == 0).await);
     }
 
-    pub(crate) fn relay(&self) -> Relay {
+    pub(crate) fn begin_request(&self) -> InFlight {
         self.open.send_modify(|open| *open += 1);
-        Relay {
+        InFlight {
             open: self.open.clone(),
         }
     }
@@ -238,7 +238,7 @@
     }
 }
 
-impl Drop for Relay {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.open.send_modify(|open| *open -= 1);
     }
--- a/crates/entry/src/stats.rs
+++ b/crates/entry/src/stats.rs
@@ -15,34 +15,34 @@
 #[derive(Debug, Clone)]
 pub struct Stats {
     /// Seconds from a request's head to that of its answer, for requests that were sent to a gate.
-    pub took: Histogram,
+    pub duration: Histogram,
     /// Seconds from a request's head to its refusal, for requests that reached no target.
-    pub refused: Histogram,
+    pub refusal_duration: Histogram,
     /// Age in seconds of the report by which a target was chosen.
-    pub age: Histogram,
+    pub report_age: Histogram,
     /// Targets chosen without any report.
-    pub blind: Counter,
+    pub choices_without_report: Counter,
     /// Targets chosen though they had told that work takes much longer than usual.
-    pub slow: Counter,
+    pub choices_of_slow: Counter,
     /// Requests of which several gates were asked.
-    pub handed: Counter,
+    pub handed_over: Counter,
     /// Requests that were sent to more than one target.
-    pub repeated: Counter,
+    pub retried: Counter,
     /// Requests of which a copy was sent while the first try was under way.
-    pub copied: Counter,
+    pub hedged: Counter,
 }
 
 impl Default for Stats {
     fn default() -> Stats {
         Stats {
-            took: times(),
-            refused: times(),
-            age: times(),
-            blind: Counter::default(),
-            slow: Counter::default(),
-            handed: Counter::default(),
-            repeated: Counter::default(),
-            copied: Counter::default(),
+            duration: times(),
+            refusal_duration: times(),
+            report_age: times(),
+            choices_without_report: Counter::default(),
+            choices_of_slow: Counter::default(),
+            handed_over: Counter::default(),
+            retried: Counter::default(),
+            hedged: Counter::default(),
         }
     }
 }
@@ -50,25 +50,25 @@
 impl Stats {
     pub(crate) fn chose(&self, basis: Basis) {
         match basis.age {
-            Some(age) => self.age.observe(age.as_secs_f64()),
-            None => drop(self.blind.inc()),
+            Some(age) => self.report_age.observe(age.as_secs_f64()),
+            None => drop(self.choices_without_report.inc()),
         }
         if basis.slow {
-            self.slow.inc();
+            self.choices_of_slow.inc();
         }
     }
 
     pub(crate) fn ended(&self, took: Duration, handed: u32, sent: u32) {
-        self.took.observe(took.as_secs_f64());
+        self.duration.observe(took.as_secs_f64());
         if handed > 0 {
-            self.handed.inc();
+            self.handed_over.inc();
         }
         if sent > 1 {
-            self.repeated.inc();
+            self.retried.inc();
         }
     }
 
     pub(crate) fn refused(&self, took: Duration) {
-        self.refused.observe(took.as_secs_f64());
+        self.refusal_duration.observe(took.as_secs_f64());
     }
 }
--- a/crates/entry/src/tries.rs
+++ b/crates/entry/src/tries.rs
@@ -150,7 +150,7 @@
 
     /// Whether the gate that is asked now may hand the request back for the sake of a quick target.
     fn may_go_elsewhere(&self, intake: &Intake) -> bool {
-        let most = self.job.entry.setting.hand_overs.unwrap_or(0);
+        let most = self.job.entry.setting.max_handovers.unwrap_or(0);
         let need = self.need(&self.tried);
         let pick = &self.job.upstream.pick;
         self.handed + 1 < most && intake.sendable() && pick.has_quick(Instant::now(), &need)
@@ -229,7 +229,7 @@
     /// Whether another gate may be asked for nothing.
     fn may_hand_over(&self, cause: wire::Cause, intake: &Intake) -> bool {
         let reached = matches!(cause, wire::Cause::Declined | wire::Cause::Suspect);
-        let most = self.job.entry.setting.hand_overs.unwrap_or(0);
+        let most = self.job.entry.setting.max_handovers.unwrap_or(0);
         let time = Instant::now() < self.job.deadline;
         !reached && time && self.handed < most && intake.sendable()
     }
--- a/crates/entry/src/tries/copy.rs
+++ b/crates/entry/src/tries/copy.rs
@@ -78,7 +78,7 @@
             began.elapsed().as_millis(),
         );
         let guard = chosen.ok()?;
-        self.job.entry.stats().copied.inc();
+        self.job.entry.stats().hedged.inc();
         Some(guard)
     }
 
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -23,7 +23,7 @@
     pub(crate) fn new(setting: &Builder, service: &Service) -> Upstream {
         let Builder {
             zone,
-            way,
+            network_delay,
             instance: entry,
             retry,
             choice,
@@ -33,7 +33,7 @@
         let parts = [entry.as_str().as_bytes(), service.as_str().as_bytes()];
         let seed = unit::Digest::of_parts(&parts).0 as u64;
         let pick = Pick::builder(zone.clone())
-            .way(*way)
+            .way(*network_delay)
             .seed(seed)
             .setting(*choice)
             .build();
--- a/crates/nest/src/lib.rs
+++ b/crates/nest/src/lib.rs
@@ -22,7 +22,7 @@
 //!     allowance: 2,
 //! };
 //! let running = table.enter(Token(7), context);
-//! assert_eq!(table.find(Token(7)).map(|nest| nest.context().depth), Some(Depth(1)));
+//! assert_eq!(table.find(Token(7)).map(|parent| parent.context().depth), Some(Depth(1)));
 //! drop(running);
 //! assert!(table.find(Token(7)).is_none());
 //! # Ok::<(), unit::Error>(())
@@ -60,17 +60,17 @@
 
 /// A running call as its nested calls see it. Clones share the allowance.
 #[derive(Debug, Clone)]
-pub struct Nest {
+pub struct Parent {
     context: Arc<Context>,
-    left: Arc<Mutex<u8>>,
+    allowance_left: Arc<Mutex<u8>>,
     /// Time that the run has spent on its calls.
-    away: Arc<Mutex<Duration>>,
+    nested_time: Arc<Mutex<Duration>>,
 }
 
 /// The running calls of one daemon's target; clones share the table.
 #[derive(Debug, Clone)]
 pub struct Table {
-    shards: Arc<Vec<Mutex<HashMap<Token, Nest>>>>,
+    shards: Arc<Vec<Mutex<HashMap<Token, Parent>>>>,
 }
 
 /// A running call; its token is worth nothing once this is dropped.
@@ -79,7 +79,7 @@
 pub struct Running {
     table: Table,
     token: Token,
-    nest: Nest,
+    parent: Parent,
 }
 
 impl Default for Table {
@@ -94,17 +94,17 @@
 impl Table {
     /// Holds `context` under `token` until the guard is dropped.
     pub fn enter(&self, token: Token, context: Context) -> Running {
-        let left = Arc::new(Mutex::new(context.allowance));
-        let nest = Nest {
+        let allowance_left = Arc::new(Mutex::new(context.allowance));
+        let parent = Parent {
             context: Arc::new(context),
-            left,
-            away: Arc::default(),
+            allowance_left,
+            nested_time: Arc::default(),
         };
-        self.shard(token).lock().insert(token, nest.clone());
+        self.shard(token).lock().insert(token, parent.clone());
         Running {
             table: self.clone(),
             token,
-            nest,
+            parent,
         }
     }
 
@@ -115,12 +115,12 @@
     }
 
     /// The running call of a request that has `name` with its caller.
-    pub fn find_named(&self, name: &[u8]) -> Option<Nest> {
+    pub fn find_named(&self, name: &[u8]) -> Option<Parent> {
         self.find(named(name))
     }
 
     /// The running call that `token` names.
-    pub fn find(&self, token: Token) -> Option<Nest> {
+    pub fn find(&self, token: Token) -> Option<Parent> {
         self.shard(token).lock().get(&token).cloned()
     }
 
@@ -134,7 +134,7 @@
         self.len() == 0
     }
 
-    fn shard(&self, token: Token) -> &Mutex<HashMap<Token, Nest>> {
+    fn shard(&self, token: Token) -> &Mutex<HashMap<Token, Parent>> {
         &self.shards[(token.0 % SHARDS as u128) as usize]
     }
 }
@@ -144,7 +144,7 @@
     Token(Digest::of(name).0)
 }
 
-impl Nest {
+impl Parent {
     /// What the nested calls inherit.
     pub fn context(&self) -> &Context {
         &self.context
@@ -152,26 +152,26 @@
 
     /// Reads and changes the allowance that all nested calls of this call share.
     pub fn allowance<T>(&self, change: impl FnOnce(&mut u8) -> T) -> T {
-        change(&mut self.left.lock())
+        change(&mut self.allowance_left.lock())
     }
 }
 
-impl Nest {
+impl Parent {
     /// Notes a call that the run has made.
-    pub fn was_away(&self, time: Duration) {
-        *self.away.lock() += time;
+    pub fn add_nested_time(&self, time: Duration) {
+        *self.nested_time.lock() += time;
     }
 }
 
 impl Running {
     /// Time that the run has spent on its calls so far, added up.
-    pub fn away(&self) -> Duration {
-        *self.nest.away.lock()
+    pub fn nested_time(&self) -> Duration {
+        *self.parent.nested_time.lock()
     }
 
     /// What is left of the allowance; it goes back with the answer.
-    pub fn left(&self) -> u8 {
-        *self.nest.left.lock()
+    pub fn allowance_left(&self) -> u8 {
+        *self.parent.allowance_left.lock()
     }
 }
 
--- a/crates/target/src/call/deliver.rs
+++ b/crates/target/src/call/deliver.rs
@@ -51,7 +51,7 @@
         mut connection: Connection,
         mut sender: Sender,
     ) -> Result<(), Error> {
-        let reply = self.reply(&head, run.nest.left());
+        let reply = self.reply(&head, run.nest.allowance_left());
         // For a request that may not be repeated we go on although the entry is gone: its answer
         // is kept for whoever asks after the token.
         let relay = Relay {
@@ -103,7 +103,7 @@
             load(&run.load)
         );
         if head.status.is_success()
-            && let Some(work) = latency.checked_sub(run.nest.away())
+            && let Some(work) = latency.checked_sub(run.nest.nested_time())
         {
             run.running.worked(work);
         }
