--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! A target's answer on its way to the caller.
+//! Relays the answer of a target to the caller.
 
 use std::io;
 use std::pin::Pin;
@@ -15,42 +15,42 @@
 use wire::{Frame, Header, Receiver, Reply};
 
 use crate::Body;
-use crate::refusal::put;
+use crate::refusal::set_header;
 use crate::state::InFlight;
 
-/// The header that says what became of a request: `ran`, `not-run`, `unknown` or `already-run`.
+/// The header that gives the outcome of a request: `ran`, `not-run`, `unknown` or `already-run`.
 pub const OUTCOME: &str = "x-appleshore-outcome";
 
 /// The header that names the instance whose target answered.
 const TARGET: &str = "x-appleshore-target";
 
-/// Bytes of a body that are taken together.
-const GATHERED: usize = 256 << 10;
+/// Once more than this many bytes of a body are gathered, the rest is streamed.
+const MAX_GATHERED_BYTES: usize = 256 << 10;
 
-/// The head of a target's answer, with the stream that its body comes on.
+/// The head of a target's answer, and the stream that its body arrives on.
 pub(crate) struct Answer {
     pub(crate) reply: Reply,
     pub(crate) receiver: Receiver,
     pub(crate) gate: Instance,
 }
 
-/// What is held until an answer's body has gone to the caller.
-pub(crate) struct Hold {
-    /// Counts the request as under way, for a planned stop.
+/// What is kept until the body of an answer has been sent to the caller.
+pub(crate) struct ResponseGuard {
+    /// Counts the request as in flight, for a planned stop.
     pub(crate) _in_flight: InFlight,
-    /// The caller's place, if the rule bounds its requests.
-    pub(crate) _place: Option<pick::limit::Guard>,
-    /// Longest pause inside the body.
-    pub(crate) pause: Duration,
+    /// The caller's slot, if the rule limits its concurrent requests.
+    pub(crate) _caller_limit: Option<pick::limit::Guard>,
+    /// Longest wait for the next chunk of the body.
+    pub(crate) idle_timeout: Duration,
 }
 
-/// A body that is at hand, and what is held until the caller has it.
-struct Whole {
+/// A body that is in memory in full, and the guards that are released with it.
+struct CompleteBody {
     data: Option<Bytes>,
-    _hold: Hold,
+    _guard: ResponseGuard,
 }
 
-impl hyper::body::Body for Whole {
+impl hyper::body::Body for CompleteBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -70,56 +70,58 @@
     }
 }
 
-struct Source {
-    /// What has been read of the body already.
+struct StreamedBody {
+    /// The part of the body that was read already.
     start: Bytes,
     receiver: Receiver,
-    hold: Hold,
+    guard: ResponseGuard,
 }
 
 impl Answer {
-    /// The HTTP answer; its body is `start` and what streams from the link behind it.
+    /// Builds the HTTP response; its body is `start`, followed by what arrives on the stream.
     ///
-    /// A short answer comes in one piece, and is then given with its length.
-    pub(crate) fn response(mut self, start: Bytes, hold: Hold) -> Response<Body> {
-        let mut response = head(&self.reply, Outcome::Ran);
-        put(response.headers_mut(), TARGET, self.gate.as_str());
+    /// A short body that has arrived in full is sent in one piece and with its length.
+    pub(crate) fn response(mut self, start: Bytes, guard: ResponseGuard) -> Response<Body> {
+        let mut response = response_head(&self.reply, Outcome::Ran);
+        set_header(response.headers_mut(), TARGET, self.gate.as_str());
         let (start, end) = gather(start, &mut self.receiver);
         if end {
-            let body = Whole {
+            let body = CompleteBody {
                 data: Some(start).filter(|data| !data.is_empty()),
-                _hold: hold,
+                _guard: guard,
             };
             *response.body_mut() = body.boxed_unsync();
             return response;
         }
-        let source = Source {
+        let streamed = StreamedBody {
             start,
             receiver: self.receiver,
-            hold,
+            guard,
         };
-        let pieces = stream::unfold(Some(source), |source| async move { next(source?).await });
+        let pieces = stream::unfold(Some(streamed), |streamed| async move {
+            next_chunk(streamed?).await
+        });
         *response.body_mut() = StreamBody::new(pieces).boxed_unsync();
         response
     }
 }
 
-/// An answer that has come as a whole, of a request that may not be repeated.
-pub(crate) fn whole(
+/// Builds the HTTP response from the complete answer to a request that may not be repeated.
+pub(crate) fn complete_response(
     answer: held::Answer,
     outcome: Outcome,
     gate: Option<&Instance>,
 ) -> Response<Body> {
-    let mut response = head(&answer.reply, outcome);
+    let mut response = response_head(&answer.reply, outcome);
     if let Some(gate) = gate {
-        put(response.headers_mut(), TARGET, gate.as_str());
+        set_header(response.headers_mut(), TARGET, gate.as_str());
     }
     let body = Full::from(answer.body).map_err(|never| match never {});
     *response.body_mut() = body.boxed_unsync();
     response
 }
 
-/// The outcome that an answer tells its caller.
+/// The outcome that the headers of a response give; unknown if there is none.
 pub(crate) fn outcome(response: &Response<Body>) -> Outcome {
     let text = response
         .headers()
@@ -131,18 +133,18 @@
     found.unwrap_or(Outcome::Unknown)
 }
 
-fn head(reply: &Reply, outcome: Outcome) -> Response<Body> {
+fn response_head(reply: &Reply, outcome: Outcome) -> Response<Body> {
     let mut response = Response::new(Body::default());
     *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
     *response.headers_mut() = Header::map(&reply.headers);
-    put(response.headers_mut(), OUTCOME, &outcome.to_string());
+    set_header(response.headers_mut(), OUTCOME, &outcome.to_string());
     response
 }
 
-/// Takes what has come of a body already; true if that is all of it.
+/// Reads what has already arrived of a body, without waiting; true if that completes it.
 fn gather(start: Bytes, receiver: &mut Receiver) -> (Bytes, bool) {
     let mut pieces = start;
-    while pieces.len() <= GATHERED {
+    while pieces.len() <= MAX_GATHERED_BYTES {
         match receiver.recv().now_or_never() {
             Some(Ok(Some(Frame::Data(data)))) if pieces.is_empty() => pieces = data,
             Some(Ok(Some(Frame::Data(data)))) => pieces = [pieces, data].concat().into(),
@@ -153,24 +155,24 @@
     (pieces, false)
 }
 
-type Next = Option<(io::Result<Piece<Bytes>>, Option<Source>)>;
+type NextChunk = Option<(io::Result<Piece<Bytes>>, Option<StreamedBody>)>;
 
-async fn next(mut source: Source) -> Next {
-    if !source.start.is_empty() {
-        let start = std::mem::take(&mut source.start);
-        return Some((Ok(Piece::data(start)), Some(source)));
+async fn next_chunk(mut streamed: StreamedBody) -> NextChunk {
+    if !streamed.start.is_empty() {
+        let start = std::mem::take(&mut streamed.start);
+        return Some((Ok(Piece::data(start)), Some(streamed)));
     }
-    let frame = timeout(source.hold.pause, source.receiver.recv()).await;
+    let frame = timeout(streamed.guard.idle_timeout, streamed.receiver.recv()).await;
     let cause = match frame {
-        Ok(Ok(Some(Frame::Data(data)))) => return Some((Ok(Piece::data(data)), Some(source))),
+        Ok(Ok(Some(Frame::Data(data)))) => return Some((Ok(Piece::data(data)), Some(streamed))),
         Ok(Ok(Some(Frame::End))) => return None,
         Ok(Ok(Some(Frame::Abort(abort)))) => abort.cause,
         Ok(Ok(_)) => "the answer was cut".to_string(),
         Ok(Err(error)) => error.to_string(),
-        Err(_) => format!("no byte for {:?}", source.hold.pause),
+        Err(_) => format!("no byte for {:?}", streamed.guard.idle_timeout),
     };
-    // An error in the body makes hyper break the connection off, so that the caller sees a cut
-    // answer and can't take it for a shorter whole one.
-    log::warn!("entry: an answer broke off: {cause}.");
+    // An error in the body ends the connection, so that the caller sees a truncated answer and can't
+    // take it for a shorter complete one.
+    log::warn!("entry: answer truncated: {cause}.");
     Some((Err(io::Error::other(cause)), None))
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try at one target: from the chosen instance to the head of its answer.
+//! One attempt at one target: from the chosen instance to the head of its answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,26 +10,26 @@
 use wire::{Ask, Call, Error, Frame, Known, Link, Peer, Receiver, Refusal, Sender, Stream};
 
 use crate::answer::Answer;
-use crate::intake::Intake;
+use crate::request_body::RequestBody;
 use crate::{Entry, Upstream};
 
-/// What came of one try.
-pub(crate) enum Tried {
-    /// The target answers.
+/// The outcome of one attempt.
+pub(crate) enum AttemptOutcome {
+    /// The head of the target's answer has arrived.
     Answer(Answer),
-    /// The gate did not run it, and never will.
+    /// The gate refused the request; it has not run and never will.
     Refused(Refusal),
-    /// Nothing was sent, or the gate has fenced the token: it has not run, and never will.
+    /// Nothing was sent, or the gate has fenced the token: the request has not run and never will.
     NotSent(String),
-    /// It may have run.
+    /// The answer was lost; the request may have run.
     Lost(String),
-    /// It may have run, and nothing speaks against its instance but the link.
-    Broken(String),
-    /// The deadline came while it may be running.
-    Late,
+    /// The link broke; the request may have run, and the instance itself may be healthy.
+    LinkBroken(String),
+    /// The deadline passed while the request may be running.
+    TimedOut,
 }
 
-/// What one try needs of the request that it is for.
+/// What one attempt needs to know about its request.
 pub(crate) struct Attempt {
     pub(crate) entry: Arc<Entry>,
     pub(crate) upstream: Arc<Upstream>,
@@ -37,50 +37,50 @@
     pub(crate) deadline: Instant,
 }
 
-/// Pause between questions after a token whose gate can't be reached.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+/// Delay between two questions about a token while its gate can't be reached or has no answer.
+const ASK_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest time that one question lets the gate wait for the end of a running call.
-const ASK_WAIT: Duration = Duration::from_secs(5);
+/// Longest time that the gate may hold one question open until a running call ends.
+const MAX_ASK_WAIT: Duration = Duration::from_secs(5);
 
 impl Attempt {
-    /// Makes the try at the instance of `guard`.
-    pub(crate) async fn run(self, guard: Guard, intake: &mut Intake) -> Tried {
+    /// Sends the request to the instance of `guard` and waits for the head of the answer.
+    pub(crate) async fn run(self, guard: Guard, body: &mut RequestBody) -> AttemptOutcome {
         let instance = guard.instance().clone();
         let peer = (self.entry.setting.peers)(&instance);
         let Some(peer) = peer else {
             guard.end(Kind::Lost, None);
-            return Tried::NotSent(format!("{instance} is not announced"));
+            return AttemptOutcome::NotSent(format!("{instance} is not announced"));
         };
-        let opened = timeout_at(self.link_by(), self.open(&peer)).await;
+        let opened = timeout_at(self.link_deadline(), self.open(&peer)).await;
         let (link, stream) = match opened {
             Ok(Ok(opened)) => opened,
             Ok(Err(error)) => {
                 guard.end(Kind::Lost, None);
-                return Tried::NotSent(error.to_string());
+                return AttemptOutcome::NotSent(error.to_string());
             }
             Err(_) => {
                 guard.end(Kind::Lost, None);
-                return Tried::NotSent(format!("dial {instance}: no link in time"));
+                return AttemptOutcome::NotSent(format!("dial {instance}: no link in time"));
             }
         };
-        let tried = timeout_at(self.deadline, self.exchange(stream, intake)).await;
-        let tried = match tried {
-            Ok(Ok(tried)) => tried,
-            // The peer does not know us yet, so it has read nothing.
-            Ok(Err(error @ Error::Dial(..))) => Tried::NotSent(error.to_string()),
+        let outcome = timeout_at(self.deadline, self.exchange(stream, body)).await;
+        let outcome = match outcome {
+            Ok(Ok(outcome)) => outcome,
+            // The peer does not know this instance yet, so it has read nothing of the call.
+            Ok(Err(error @ Error::Dial(..))) => AttemptOutcome::NotSent(error.to_string()),
             Ok(Err(error)) => self.recover(&link, error).await,
-            Err(_) => Tried::Late,
+            Err(_) => AttemptOutcome::TimedOut,
         };
-        self.settle(guard, &tried);
-        tried
+        self.settle(guard, &outcome);
+        outcome
     }
 
-    /// Until when the try waits for a link.
-    fn link_by(&self) -> Instant {
-        let bound = self.entry.setting.link_timeout;
-        bound.map_or(self.deadline, |bound| {
-            self.deadline.min(Instant::now() + bound)
+    /// When the attempt stops waiting for a link.
+    fn link_deadline(&self) -> Instant {
+        let timeout = self.entry.setting.link_timeout;
+        timeout.map_or(self.deadline, |timeout| {
+            self.deadline.min(Instant::now() + timeout)
         })
     }
 
@@ -91,65 +91,71 @@
     }
 
     /// Sends the call and reads the head of the answer.
-    async fn exchange(&self, stream: Stream, intake: &mut Intake) -> Result<Tried, Error> {
+    async fn exchange(
+        &self,
+        stream: Stream,
+        body: &mut RequestBody,
+    ) -> Result<AttemptOutcome, Error> {
         let Stream {
             mut sender,
             mut receiver,
         } = stream;
         sender.urgency(self.call.urgency);
         sender.push(&Frame::Call(self.call.clone()))?;
-        match intake {
-            Intake::Whole(bytes) => match send_whole(sender, bytes.clone()).await {
-                // A gate that refuses reads no more of the body, and says why on its own half.
+        match body {
+            RequestBody::Complete(bytes) => match send_complete(sender, bytes.clone()).await {
+                // A gate that refuses the call stops reading the body and sends its refusal on the
+                // other direction of the stream.
                 Ok(()) | Err(Error::Reset(..)) => {}
                 Err(error) => return Err(error),
             },
-            Intake::Empty | Intake::Spent => sender.finish().await?,
-            Intake::Streamed(..) => {
+            RequestBody::Empty | RequestBody::Consumed => sender.finish().await?,
+            RequestBody::Streamed(..) => {
                 sender.flush().await?;
-                match self.first(&mut receiver).await? {
-                    First::Accepted => {
-                        if let Intake::Streamed(start, rest) =
-                            std::mem::replace(intake, Intake::Spent)
+                match self.first_frame(&mut receiver).await? {
+                    FirstFrame::Accepted => {
+                        if let RequestBody::Streamed(start, rest) =
+                            std::mem::replace(body, RequestBody::Consumed)
                         {
                             tokio::spawn(rest.pump(start, sender));
                         }
                     }
-                    First::Other(frame) => return self.head(frame, receiver),
+                    FirstFrame::Other(frame) => return self.read_head(frame, receiver),
                 }
             }
         }
         let frame = receiver.recv().await?;
-        self.head(frame, receiver)
+        self.read_head(frame, receiver)
     }
 
-    async fn first(&self, receiver: &mut Receiver) -> Result<First, Error> {
+    async fn first_frame(&self, receiver: &mut Receiver) -> Result<FirstFrame, Error> {
         match receiver.recv().await? {
             Some(Frame::Accepted(accepted)) if accepted.token == self.call.token => {
-                Ok(First::Accepted)
+                Ok(FirstFrame::Accepted)
             }
-            frame => Ok(First::Other(frame)),
+            frame => Ok(FirstFrame::Other(frame)),
         }
     }
 
-    /// Reads the head of the answer, and checks that it is the answer to this very call.
-    fn head(&self, frame: Option<Frame>, receiver: Receiver) -> Result<Tried, Error> {
+    /// Interprets `frame` as the head of the answer, and checks that it carries the token of this
+    /// call.
+    fn read_head(&self, frame: Option<Frame>, receiver: Receiver) -> Result<AttemptOutcome, Error> {
         let gate = receiver.peer().clone();
         match frame {
             Some(Frame::Reply(reply)) if reply.token == self.call.token => {
-                Ok(Tried::Answer(Answer {
+                Ok(AttemptOutcome::Answer(Answer {
                     reply,
                     receiver,
                     gate,
                 }))
             }
             Some(Frame::Refusal(refusal)) if refusal.token == self.call.token => {
-                Ok(self.refused(refusal))
+                Ok(self.outcome_of_refusal(refusal))
             }
-            Some(Frame::Abort(abort)) if abort.late => Ok(Tried::Late),
-            Some(Frame::Abort(abort)) => Ok(Tried::Lost(abort.cause)),
-            // An answer to another token would be another caller's: we end the link, since nothing
-            // on it can be believed any more.
+            Some(Frame::Abort(abort)) if abort.late => Ok(AttemptOutcome::TimedOut),
+            Some(Frame::Abort(abort)) => Ok(AttemptOutcome::Lost(abort.cause)),
+            // An answer to another token belongs to another caller. It ends the link, since nothing
+            // else that arrives on it can be trusted.
             Some(_) => Err(Error::Garbled(
                 gate.to_string(),
                 "an answer to another call".into(),
@@ -158,51 +164,60 @@
         }
     }
 
-    /// A duplicate says nothing of what became of the first frame with this token.
-    fn refused(&self, refusal: Refusal) -> Tried {
+    /// The outcome that a refusal stands for. A duplicate does not tell whether the first call with
+    /// this token ran, so it counts as lost.
+    fn outcome_of_refusal(&self, refusal: Refusal) -> AttemptOutcome {
         match refusal.cause {
-            wire::Cause::Duplicate => Tried::Lost("the gate has seen this token".to_string()),
-            _ => Tried::Refused(refusal),
+            wire::Cause::Duplicate => {
+                AttemptOutcome::Lost("the gate has seen this token".to_string())
+            }
+            _ => AttemptOutcome::Refused(refusal),
         }
     }
 
-    /// The link broke under the call. One that may be repeated is left to the retry budget; for
-    /// one that may not, the gate is asked after the token over a new link.
-    async fn recover(&self, link: &Link, error: Error) -> Tried {
-        // Only the very life that was sent the call knows what became of it. A new life at the same
-        // address has never seen its token, and would call it unknown though it ran.
+    /// Determines the outcome after the link broke during the call. If the call may be repeated,
+    /// the retry budget decides; otherwise the gate is asked about the token over a new link.
+    async fn recover(&self, link: &Link, error: Error) -> AttemptOutcome {
+        // Only the life that received the call knows its outcome. A new life at the same address has
+        // never seen the token and would report it as unknown although the call may have run.
         let peer = link.peer();
         if matches!(error, Error::Garbled(..)) {
             link.close();
         }
         if !self.call.once {
-            return Tried::Broken(error.to_string());
+            return AttemptOutcome::LinkBroken(error.to_string());
         }
-        log::info!("entry: asking {} after a call: {error}.", peer.instance);
-        timeout_at(self.deadline, self.ask(peer))
+        log::info!(
+            "entry: asking {} about the outcome of a call: {error}.",
+            peer.instance
+        );
+        timeout_at(self.deadline, self.ask_until_known(peer))
             .await
-            .unwrap_or(Tried::Late)
+            .unwrap_or(AttemptOutcome::TimedOut)
     }
 
-    /// Asks until the gate knows the end of the call, or has fenced it.
-    async fn ask(&self, peer: &Peer) -> Tried {
+    /// Asks the gate until it reports how the call ended, or has fenced the token.
+    async fn ask_until_known(&self, peer: &Peer) -> AttemptOutcome {
         loop {
             match self.ask_once(peer).await {
-                Ok(Some(tried)) => return tried,
+                Ok(Some(outcome)) => return outcome,
                 Ok(None) => {}
-                Err(error) if self.replaced(peer) => return Tried::Lost(error.to_string()),
+                Err(error) if self.is_replaced(peer) => {
+                    return AttemptOutcome::Lost(error.to_string());
+                }
                 Err(error) => log::debug!("entry: {error}."),
             }
-            tokio::time::sleep(ASK_AGAIN).await;
+            tokio::time::sleep(ASK_RETRY_DELAY).await;
         }
     }
 
-    /// The instance has begun a new life, or is gone: the one that knew the token never comes back.
-    fn replaced(&self, peer: &Peer) -> bool {
+    /// Whether the instance has started a new life or is gone, so that the life that knew the token
+    /// never comes back.
+    fn is_replaced(&self, peer: &Peer) -> bool {
         (self.entry.setting.peers)(&peer.instance).as_ref() != Some(peer)
     }
 
-    async fn ask_once(&self, peer: &Peer) -> Result<Option<Tried>, Error> {
+    async fn ask_once(&self, peer: &Peer) -> Result<Option<AttemptOutcome>, Error> {
         let life = self
             .entry
             .setting
@@ -213,67 +228,73 @@
             .fingerprint;
         if life != peer.fingerprint {
             let cause = format!("{} has begun a new life", peer.instance);
-            return Ok(Some(Tried::Lost(cause)));
+            return Ok(Some(AttemptOutcome::Lost(cause)));
         }
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         let token = self.call.token;
         let ask = Ask {
             token,
             fence: true,
-            wait: remaining.min(ASK_WAIT),
+            wait: remaining.min(MAX_ASK_WAIT),
             remaining,
         };
-        let mut receiver = ask_after(&self.entry, peer, ask).await?;
+        let mut receiver = ask_about_token(&self.entry, peer, ask).await?;
         Ok(match receiver.recv().await? {
-            Some(Frame::Known(Known::Unknown { fenced: true })) => Some(Tried::NotSent(format!(
-                "{} has fenced the call",
-                peer.instance
-            ))),
+            Some(Frame::Known(Known::Unknown { fenced: true })) => Some(AttemptOutcome::NotSent(
+                format!("{} has fenced the call", peer.instance),
+            )),
             Some(Frame::Known(Known::Done { held: true })) => {
                 let frame = receiver.recv().await?;
-                Some(self.head(frame, receiver)?)
+                Some(self.read_head(frame, receiver)?)
             }
-            Some(Frame::Known(Known::Done { held: false })) => {
-                Some(Tried::Lost("it ran, and its answer is gone".to_string()))
-            }
-            // It runs, or the gate has no room for a fence: ask again.
+            Some(Frame::Known(Known::Done { held: false })) => Some(AttemptOutcome::Lost(
+                "it ran, and its answer is gone".to_string(),
+            )),
+            // The call is running, or the gate has no room for a fence: ask again.
             _ => None,
         })
     }
 
-    fn settle(&self, guard: Guard, tried: &Tried) {
+    fn settle(&self, guard: Guard, outcome: &AttemptOutcome) {
         let began = guard.began();
-        match tried {
-            Tried::Answer(answer) => {
+        match outcome {
+            AttemptOutcome::Answer(answer) => {
                 self.upstream.observe(began.elapsed());
-                guard.end(kind(answer.reply.status), answer.reply.report);
+                guard.end(kind_of_status(answer.reply.status), answer.reply.report);
             }
-            Tried::Refused(refusal) => guard.end(kind_of(refusal.cause), refusal.report),
-            Tried::NotSent(_) | Tried::Lost(_) | Tried::Broken(_) | Tried::Late => {
-                guard.end(Kind::Lost, None)
+            AttemptOutcome::Refused(refusal) => {
+                guard.end(kind_of_refusal(refusal.cause), refusal.report)
             }
+            AttemptOutcome::NotSent(_)
+            | AttemptOutcome::Lost(_)
+            | AttemptOutcome::LinkBroken(_)
+            | AttemptOutcome::TimedOut => guard.end(Kind::Lost, None),
         }
     }
 }
 
-/// What a refusal says of the target.
-fn kind_of(cause: wire::Cause) -> Kind {
+/// How a refusal counts for the choice among targets.
+fn kind_of_refusal(cause: wire::Cause) -> Kind {
     match cause {
         wire::Cause::Down | wire::Cause::Leaving | wire::Cause::Misdirected => Kind::Closed,
-        // A target that turns away what its gate has let through is in trouble.
+        // The target declined a request that its gate had admitted, which counts as a failure.
         wire::Cause::Declined => Kind::Error,
         _ => Kind::Refused,
     }
 }
 
-async fn send_whole(mut sender: Sender, body: Bytes) -> Result<(), Error> {
+async fn send_complete(mut sender: Sender, body: Bytes) -> Result<(), Error> {
     sender.write(body).await?;
     sender.push(&Frame::End)?;
     sender.finish().await
 }
 
-/// Opens a question after a token at `peer`; the answer comes on the receiver.
-pub(crate) async fn ask_after(entry: &Entry, peer: &Peer, ask: Ask) -> Result<Receiver, Error> {
+/// Sends `peer` a question about a token; the answer arrives on the receiver.
+pub(crate) async fn ask_about_token(
+    entry: &Entry,
+    peer: &Peer,
+    ask: Ask,
+) -> Result<Receiver, Error> {
     let link = entry.setting.dialer.link(peer).await?;
     let Stream {
         mut sender,
@@ -284,18 +305,18 @@
     Ok(receiver)
 }
 
-/// The first frame behind a call whose body is streamed.
+/// The first frame of the gate after a call whose body is streamed.
 #[expect(
     clippy::large_enum_variant,
     reason = "It is moved once, and a box would cost an allocation each."
 )]
-enum First {
+enum FirstFrame {
     Accepted,
     Other(Option<Frame>),
 }
 
-/// What an answer's status says of its target.
-pub(crate) fn kind(status: u16) -> Kind {
+/// How the status of an answer counts for the choice among targets.
+pub(crate) fn kind_of_status(status: u16) -> Kind {
     if (500..600).contains(&status) {
         Kind::Error
     } else {
@@ -303,7 +324,8 @@
     }
 }
 
-/// A fresh token. Tokens must not collide over the whole fleet; 128 random bits don't.
-pub(crate) fn token() -> Token {
+/// Draws a fresh token. Tokens must be unique across the fleet; 128 random bits make a collision
+/// negligible.
+pub(crate) fn fresh_token() -> Token {
     Token(rand::random())
 }
--- a/crates/entry/src/connection.rs
+++ b/crates/entry/src/connection.rs
@@ -1,10 +1,10 @@
-//! One caller's connection: requests that are served side by side and answered in their order.
+//! One caller's connection: pipelined requests are served concurrently and answered in order.
 //!
-//! Callers send requests behind each other without waiting. A server that takes up the second when
-//! the first is answered makes it wait for a whole service time, and one that doesn't read while it
-//! serves can't tell that its caller has gone: the target would work on for nobody. So the
-//! connection is read all the time, each request is served from the moment that its head is there,
-//! and when the caller leaves, what is under way for it is dropped.
+//! Callers pipeline requests. A server that starts the second request only after it has answered the
+//! first delays it by a full service time, and one that does not read while it serves can't detect
+//! that its caller has disconnected, so the target would keep working on an answer that nobody
+//! reads. Therefore the connection is always read, each request is served as soon as its head has
+//! arrived, and the requests in flight are dropped when the caller disconnects.
 
 use std::collections::VecDeque;
 use std::io;
@@ -27,18 +27,21 @@
 use crate::port::Port;
 use crate::{Body, Reason, Refusal};
 
-/// Requests of one connection that are served at once; what is behind them stays in the buffer.
-const MOST_AT_ONCE: usize = 64;
-/// Bytes that are read ahead. A caller that leaves is noticed as long as there is room.
-const READ_AHEAD: usize = 256 << 10;
-/// Room for one read. Without it the buffer grows by 64 bytes at a time, and each is a system call.
-const READ_AT_ONCE: usize = 4 << 10;
-/// Bytes of answers that wait to be written before more is taken from a body.
-const WRITE_AHEAD: usize = 64 << 10;
-/// Pieces of a request's body that wait for the handler.
-const BODY_AHEAD: usize = 4;
-/// How long a closed connection is read on, so that bytes on their way don't reset the answer.
-const LINGER: Duration = Duration::from_millis(500);
+/// Requests of one connection that are served concurrently; further ones stay in the input buffer.
+const MAX_CONCURRENT_REQUESTS: usize = 64;
+/// Size of the input buffer beyond which reading pauses. A disconnect is detected only while the
+/// buffer has room.
+const MAX_INPUT_BYTES: usize = 256 << 10;
+/// Space reserved for each read. Without it the buffer grows by 64 bytes at a time, with one system
+/// call each.
+const READ_RESERVE_BYTES: usize = 4 << 10;
+/// Size of the output buffer from which on no more is read from the body of an answer.
+const MAX_OUTPUT_BYTES: usize = 64 << 10;
+/// Chunks of a request's body that are queued for the handler.
+const BODY_CHANNEL_CAPACITY: usize = 4;
+/// How long a closed connection is still read, so that bytes in transit don't reset it before the
+/// answer has arrived.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The state of one connection.
 pub(crate) struct Connection {
@@ -46,26 +49,26 @@
     peer: SocketAddr,
     input: BytesMut,
     output: BytesMut,
-    /// Requests under way, in order.
+    /// Requests in flight, in the order of their arrival.
     pending: FuturesOrdered<BoxFuture<'static, Answered>>,
-    /// Answers whose turn has not come.
+    /// Answers that wait for earlier answers to be written.
     ready: VecDeque<Answered>,
     /// The answer that is being written.
     writing: Option<Writing>,
-    /// The body of the last request, while it comes in.
-    feed: Option<Feed>,
-    /// No request is read any more.
-    last_read: bool,
-    /// The connection ends behind the answer that is being written.
+    /// The body of the last request, while it is being received.
+    upload: Option<BodyUpload>,
+    /// Whether no further request is read.
+    reads_done: bool,
+    /// Whether the connection closes after the answer that is being written.
     closing: bool,
-    /// When the present head began to come, or the connection became idle.
-    since: Instant,
-    /// The idle time that was in force when the connection became idle: a caller goes by the one
-    /// that it knows.
-    idle: Duration,
+    /// When the current head began to arrive, or the connection became idle.
+    timer_start: Instant,
+    /// The idle timeout in force when the connection became idle. A lower setting takes effect later,
+    /// since the caller relies on the timeout that it knows.
+    idle_timeout: Duration,
 }
 
-/// An answer with what its framing depends on.
+/// An answer, and the request method, which its framing depends on.
 struct Answered {
     response: Response<Body>,
     method: Method,
@@ -77,14 +80,14 @@
     chunked: bool,
 }
 
-/// A request's body on its way to the handler.
-struct Feed {
+/// The transfer of a request's body to the handler.
+struct BodyUpload {
     body: http1::Body,
-    /// Gone once the handler wants no more; the rest is read and dropped.
+    /// `None` once the handler has dropped the body; the rest is read and discarded.
     to: Option<mpsc::Sender<io::Result<Bytes>>>,
 }
 
-/// What woke the connection.
+/// The event that a connection has waited for.
 enum Event {
     Read(usize),
     Written,
@@ -97,7 +100,7 @@
 
 impl Connection {
     pub(crate) fn new(port: Port, peer: SocketAddr) -> Connection {
-        let idle = (port.bounds)().idle;
+        let idle_timeout = (port.bounds)().idle;
         Connection {
             port,
             peer,
@@ -106,56 +109,56 @@
             pending: FuturesOrdered::new(),
             ready: VecDeque::new(),
             writing: None,
-            feed: None,
-            last_read: false,
+            upload: None,
+            reads_done: false,
             closing: false,
-            since: Instant::now(),
-            idle,
+            timer_start: Instant::now(),
+            idle_timeout,
         }
     }
 
-    /// Serves the connection to its end.
+    /// Serves the connection until it closes.
     pub(crate) async fn serve(mut self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         loop {
-            self.take_requests();
+            self.parse_requests();
             self.write_next();
             if self.is_finished() {
                 return linger(stream).await;
             }
             match self.wait(&mut stream).await? {
-                // What is under way is dropped with the connection, which cancels it.
+                // Requests in flight are dropped with the connection, which cancels them.
                 Event::Read(0) => return Ok(()),
                 Event::Read(_) | Event::Written | Event::Room => {}
                 Event::Answered(answered) => self.ready.push_back(answered),
                 Event::Piece(piece) => self.write_piece(piece)?,
                 Event::Timeout => self.time_out(),
-                Event::Stop => self.last_read = self.input.is_empty() || self.last_read,
+                Event::Stop => self.reads_done = self.input.is_empty() || self.reads_done,
             }
         }
     }
 
-    fn is_quiet(&self) -> bool {
+    fn is_idle(&self) -> bool {
         let served = self.pending.is_empty() && self.ready.is_empty();
         served && self.writing.is_none() && self.output.is_empty()
     }
 
     fn is_finished(&self) -> bool {
-        let ends = self.last_read && self.feed.is_none();
+        let ends = self.reads_done && self.upload.is_none();
         (self.closing && self.writing.is_none() && self.output.is_empty())
-            || (ends && self.is_quiet())
+            || (ends && self.is_idle())
     }
 
     async fn wait(&mut self, stream: &mut TcpStream) -> io::Result<Event> {
         let timeout = self.timeout();
         let stopping = self.port.stop.clone();
-        let room = self.feed_room();
+        let room = self.upload_capacity();
         let (mut reader, mut writer) = stream.split();
-        let can_read = self.input.len() < READ_AHEAD;
-        self.input.reserve(READ_AT_ONCE);
+        let can_read = self.input.len() < MAX_INPUT_BYTES;
+        self.input.reserve(READ_RESERVE_BYTES);
         let can_write = !self.output.is_empty();
-        let can_fill = self.output.len() < WRITE_AHEAD;
-        let may_stop = !self.last_read && self.input.is_empty() && self.feed.is_none();
+        let can_fill = self.output.len() < MAX_OUTPUT_BYTES;
+        let may_stop = !self.reads_done && self.input.is_empty() && self.upload.is_none();
         tokio::select! {
             read = reader.read_buf(&mut self.input), if can_read => Ok(Event::Read(read?)),
             written = writer.write_buf(&mut self.output), if can_write => {
@@ -175,48 +178,49 @@
         }
     }
 
-    /// Resolves when the handler of the present body has room for more of it.
-    fn feed_room(&self) -> impl Future<Output = ()> + use<> {
-        let waits = self.feed.as_ref().filter(|_| !self.input.is_empty());
-        let to = waits.and_then(|feed| feed.to.clone());
+    /// Waits until the handler can take more of the current body.
+    fn upload_capacity(&self) -> impl Future<Output = ()> + use<> {
+        let waits = self.upload.as_ref().filter(|_| !self.input.is_empty());
+        let to = waits.and_then(|upload| upload.to.clone());
         async move {
             match to {
-                // A closed channel has room too: the rest of the body is dropped.
+                // A closed channel counts as ready too: the rest of the body is discarded.
                 Some(to) => drop(to.reserve().await),
                 None => std::future::pending().await,
             }
         }
     }
 
-    /// When the caller has taken too long: over a head, or in sending the next request.
+    /// When the caller exceeds the timeout for the current head, or for an idle connection.
     fn timeout(&self) -> Option<Instant> {
-        if self.feed.is_some() || self.last_read {
+        if self.upload.is_some() || self.reads_done {
             return None;
         }
         let bounds = (self.port.bounds)();
         if !self.input.is_empty() {
-            return Some(self.since + bounds.head_timeout);
+            return Some(self.timer_start + bounds.head_timeout);
         }
-        let idle = self.idle.max(bounds.idle);
-        self.is_quiet().then(|| self.since + idle)
+        let idle = self.idle_timeout.max(bounds.idle);
+        self.is_idle().then(|| self.timer_start + idle)
     }
 
     fn time_out(&mut self) {
-        if !self.input.is_empty() && self.pending.len() + self.ready.len() < MOST_AT_ONCE {
+        if !self.input.is_empty() && self.pending.len() + self.ready.len() < MAX_CONCURRENT_REQUESTS
+        {
             let refusal = Refusal::not_run(Reason::SlowBody).detail("the head took too long");
             self.refuse(&refusal);
         }
-        self.last_read = true;
+        self.reads_done = true;
     }
 
-    /// Takes whatever whole requests and pieces of a body have come.
-    fn take_requests(&mut self) {
+    /// Parses the complete heads and body chunks in the input buffer.
+    fn parse_requests(&mut self) {
         loop {
-            if self.feed.is_some() && !self.feed_body() {
+            if self.upload.is_some() && !self.forward_body() {
                 return;
             }
-            let room = self.pending.len() + self.ready.len() < MOST_AT_ONCE;
-            if self.last_read || !room || self.input.is_empty() {
+            let room = self.pending.len() + self.ready.len() < MAX_CONCURRENT_REQUESTS;
+            if self.reads_done || !room || self.input.is_empty() {
                 return;
             }
             let most = (self.port.bounds)().head.bytes() as usize;
@@ -231,14 +235,14 @@
         }
     }
 
-    /// Begins to serve a request.
+    /// Starts to serve a request.
     fn begin(&mut self, head: request::Head) {
-        self.last_read = !head.keep;
-        self.since = Instant::now();
+        self.reads_done = !head.keep;
+        self.timer_start = Instant::now();
         let waits = head.parts.headers.get(header::EXPECT).is_some();
         let mut body = http1::Body::of(head.length);
-        let content = self.content(head.length, &mut body);
-        if waits && self.feed.is_some() && self.is_quiet() {
+        let content = self.request_body(head.length, &mut body);
+        if waits && self.upload.is_some() && self.is_idle() {
             self.output
                 .extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
@@ -249,8 +253,8 @@
         self.pending.push_back(answered.boxed());
     }
 
-    /// The body of a request: whole if it is there already, else as it comes in.
-    fn content(&mut self, length: Length, body: &mut http1::Body) -> Body {
+    /// The body of a request: complete if it has already arrived, otherwise streamed.
+    fn request_body(&mut self, length: Length, body: &mut http1::Body) -> Body {
         match length {
             Length::Empty | Length::Close => return Body::default(),
             Length::Sized(size) if size <= self.input.len() as u64 => {
@@ -262,58 +266,59 @@
             }
             Length::Sized(_) | Length::Chunked => {}
         }
-        let (to, from) = mpsc::channel(BODY_AHEAD);
+        let (to, from) = mpsc::channel(BODY_CHANNEL_CAPACITY);
         let pieces = stream::unfold(from, |mut from| async move {
             let piece: io::Result<Bytes> = from.recv().await?;
             Some((piece.map(Frame::data), from))
         });
         let to = Some(to);
         let body = body.clone();
-        self.feed = Some(Feed { body, to });
+        self.upload = Some(BodyUpload { body, to });
         StreamBody::new(pieces).boxed_unsync()
     }
 
-    /// Passes on what has come of the present body; true once all of it has.
-    fn feed_body(&mut self) -> bool {
-        let Some(feed) = &mut self.feed else {
+    /// Passes what has arrived of the current body to the handler; true once the body has ended.
+    fn forward_body(&mut self) -> bool {
+        let Some(upload) = &mut self.upload else {
             return true;
         };
         loop {
-            if feed.body.is_done() {
-                self.feed = None;
-                self.since = Instant::now();
+            if upload.body.is_done() {
+                self.upload = None;
+                self.timer_start = Instant::now();
                 return true;
             }
-            if feed
+            if upload
                 .to
                 .as_ref()
                 .is_some_and(|to| to.capacity() == 0 && !to.is_closed())
             {
                 return false;
             }
-            let piece = match feed.body.next(&mut self.input) {
+            let piece = match upload.body.next(&mut self.input) {
                 Ok(Some(Piece::Data(data))) => Ok(data),
                 Ok(Some(Piece::End)) => {
-                    self.feed = None;
-                    self.since = Instant::now();
+                    self.upload = None;
+                    self.timer_start = Instant::now();
                     return true;
                 }
                 Ok(None) => return false,
                 Err(fault) => Err(io::Error::other(fault.to_string())),
             };
             let broken = piece.is_err();
-            // A handler that wants no more of the body has its channel closed.
-            feed.to = feed.to.take().filter(|to| to.try_send(piece).is_ok());
+            // The channel is closed if the handler has dropped the body.
+            upload.to = upload.to.take().filter(|to| to.try_send(piece).is_ok());
             if broken {
-                self.feed = None;
-                self.last_read = true;
+                self.upload = None;
+                self.reads_done = true;
                 self.input.clear();
                 return true;
             }
         }
     }
 
-    /// Answers what can't be served, and reads no more: nothing behind it can be trusted.
+    /// Answers a request that can't be parsed, and stops reading: the start of the next request is
+    /// not known.
     fn refuse(&mut self, refusal: &Refusal) {
         let mut response = refusal.response();
         let close = header::HeaderValue::from_static("close");
@@ -321,11 +326,11 @@
         let method = Method::GET;
         let answered = Answered { response, method };
         self.pending.push_back(ready(answered).boxed());
-        self.last_read = true;
+        self.reads_done = true;
         self.input.clear();
     }
 
-    /// Writes the head of the next answer, if its turn has come.
+    /// Writes the head of the next answer, unless another one is being written.
     fn write_next(&mut self) {
         if self.writing.is_some() || self.closing {
             return;
@@ -334,11 +339,11 @@
             return;
         };
         let (mut parts, body) = response.into_parts();
-        let asked = parts.headers.remove(header::CONNECTION).is_some();
-        let last = self.pending.is_empty() && self.ready.is_empty() && self.feed.is_none();
-        // Requests behind an answer that closes count as not read, and their caller sends them
-        // again, though they run here. So only the last answer of those under way closes.
-        if last && (asked && self.input.is_empty() || self.last_read) {
+        let close_requested = parts.headers.remove(header::CONNECTION).is_some();
+        let last = self.pending.is_empty() && self.ready.is_empty() && self.upload.is_none();
+        // A caller takes requests after an answer with `close` as unread and resends them, although
+        // they run here. So only the last of the pending answers closes the connection.
+        if last && (close_requested && self.input.is_empty() || self.reads_done) {
             self.closing = true;
             let close = header::HeaderValue::from_static("close");
             parts.headers.insert(header::CONNECTION, close);
@@ -346,7 +351,7 @@
         let length = match body.size_hint().exact() {
             Some(0) => Length::Empty,
             Some(size) => Length::Sized(size),
-            // A body that streams has the length that its target has given, if it has given one.
+            // A streamed body has the length that the target has declared, if any.
             None => Length::of(&parts.headers)
                 .ok()
                 .flatten()
@@ -364,13 +369,13 @@
             let chunked = length == Length::Chunked;
             self.writing = Some(Writing { body, chunked });
         }
-        self.became_quiet();
+        self.start_idle_if_done();
     }
 
-    /// Writes a piece of the present answer's body.
+    /// Writes a chunk of the body of the current answer.
     ///
-    /// An error in the body ends the connection, so that the caller sees a cut answer and can't
-    /// take it for a shorter whole one.
+    /// An error in the body ends the connection, so that the caller sees a truncated answer and can't
+    /// take it for a shorter complete one.
     fn write_piece(&mut self, piece: Option<io::Result<Frame<Bytes>>>) -> io::Result<()> {
         let Some(writing) = &self.writing else {
             return Ok(());
@@ -389,16 +394,16 @@
                     http1::last_chunk(&mut self.output);
                 }
                 self.writing = None;
-                self.became_quiet();
+                self.start_idle_if_done();
             }
         }
         Ok(())
     }
 
-    fn became_quiet(&mut self) {
+    fn start_idle_if_done(&mut self) {
         if self.writing.is_none() && self.pending.is_empty() {
-            self.since = Instant::now();
-            self.idle = (self.port.bounds)().idle;
+            self.timer_start = Instant::now();
+            self.idle_timeout = (self.port.bounds)().idle;
         }
     }
 }
@@ -410,14 +415,14 @@
     }
 }
 
-/// Closes the connection so that its last answer arrives: a connection that is closed with bytes
-/// unread is reset, and the answer may go with it.
+/// Closes the connection so that its last answer arrives. A connection that is closed with unread
+/// bytes is reset, and the reset may discard the answer.
 async fn linger(mut stream: TcpStream) -> io::Result<()> {
     stream.shutdown().await?;
     let mut rest = [0; 4_096];
     let drained = async { while stream.read(&mut rest).await.is_ok_and(|count| count > 0) {} };
-    // A caller that keeps its end open loses nothing by the close.
-    drop(timeout(LINGER, drained).await);
+    // After the timeout the close can no longer harm a caller that keeps its end open.
+    drop(timeout(LINGER_TIMEOUT, drained).await);
     Ok(())
 }
 
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to its HTTP answer.
+//! Handles one HTTP request: matches a rule, applies limits, and forwards or refuses it.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -12,36 +12,36 @@
 use tokio::time::Instant;
 use unit::{Caller, Depth, Digest, Service, Urgency};
 
-use crate::answer::{self, Hold};
-use crate::intake::{Bound, Intake, REPLAYABLE};
+use crate::answer::{self, ResponseGuard};
+use crate::attempts::Attempts;
 use crate::job::{Budget, Head, Job};
 use crate::once::{Once, claim_key};
-use crate::tries::Tries;
-use crate::{Body, Entry, Origin, Reason, Refusal};
+use crate::request_body::{self, REPLAYABLE_BYTES, RequestBody};
+use crate::{Body, Entry, InFlight, Origin, Reason, Refusal};
 
-/// A request on its way to a service, as its head says.
+/// What the head of a request that is forwarded to a service determines.
 struct Routed<'a> {
     origin: &'a Origin,
     parts: &'a Parts,
     route: &'a Route,
     depth: Depth,
-    clock: Clock,
+    timing: Timing,
 }
 
-/// A caller that has waited for so long has asked before.
-const ASKED_BEFORE: Duration = Duration::from_millis(10);
+/// A caller that has waited for at least this long counts as retrying.
+const MIN_RETRY_WAIT: Duration = Duration::from_millis(10);
 
-/// By when a request has to be answered.
-struct Clock {
-    /// Its caller gets a final answer by then.
+/// The deadline and latency goal of a request.
+struct Timing {
+    /// When the caller must have a final answer.
     deadline: Instant,
-    /// The answer is worth little after this.
+    /// When the latency goal ends; a later answer is worth little.
     goal: Option<Instant>,
-    /// The caller was refused before, and asks again.
-    again: bool,
+    /// Whether the caller is retrying a request that was refused before.
+    is_retry: bool,
 }
 
-/// A request with what the rules say of it.
+/// The rule that matches a request, and the caller that the rules name.
 struct Matched<'a> {
     rule: &'a Rule,
     caller: Caller,
@@ -57,25 +57,27 @@
         let in_flight = self.begin_request();
         let (parts, body) = request.into_parts();
         let answered = self.serve(&origin, &parts, body, in_flight).await;
-        let mut response = answered.unwrap_or_else(|refusal| self.refused(&parts, refusal));
+        let mut response = answered.unwrap_or_else(|refusal| self.refuse(&parts, refusal));
         self.count_outcome(answer::outcome(&response));
         if self.is_closing() {
-            // A request on a kept connection would else cross with its close, and its caller could
-            // not tell whether it ran.
+            // Otherwise the next request on a kept-alive connection could cross with the close of the
+            // connection, and its caller could not tell whether it ran.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
         response
     }
 
-    fn refused(&self, parts: &Parts, refusal: Refusal) -> Response<Body> {
+    fn refuse(&self, parts: &Parts, refusal: Refusal) -> Response<Body> {
         let dialect = &self.setting.dialect;
         if !dialect.exact_retry {
             return refusal.response();
         }
-        // A time that can't be read was refused for that.
+        // If the header can't be read, the request was refused for that reason.
         let left = dialect.time_left(&parts.headers).ok().flatten();
-        refusal.fit(left.unwrap_or(Route::TIMEOUT)).response()
+        refusal
+            .limit_retry_after(left.unwrap_or(Route::TIMEOUT))
+            .response()
     }
 
     async fn serve(
@@ -83,68 +85,69 @@
         origin: &Origin,
         parts: &Parts,
         body: Body,
-        in_flight: crate::InFlight,
+        in_flight: InFlight,
     ) -> Result<Response<Body>, Refusal> {
-        // What runs here may still need its nested calls: a planned stop must not cut them off.
+        // Calls that run here may still need their nested calls, so a planned stop must not refuse
+        // those.
         let nested = matches!(origin, Origin::Nested(Some(_)));
         if self.is_leaving() && !nested {
             return Err(Refusal::not_run(Reason::Leaving).detail("this instance is leaving"));
         }
         let document = self.document()?;
-        let matched = self.matched(&document, origin, parts)?;
+        let matched = self.match_rule(&document, origin, parts)?;
         let route = match &matched.rule.then {
             Then::Route(route) => route,
-            Then::Refuse(refuse) => return Err(ruled_out(refuse)),
+            Then::Refuse(refuse) => return Err(refused_by_rule(refuse)),
         };
-        let place = self.place(matched.rule, route, &matched.caller)?;
+        let caller_limit = self.enter_caller_limit(matched.rule, route, &matched.caller)?;
         let routed = Routed {
             origin,
             parts,
             route,
             depth: self.depth(origin)?,
-            clock: self.clock(&matched.rule.name, origin, parts, route)?,
+            timing: self.timing(&matched.rule.name, origin, parts, route)?,
         };
-        let pause = self.setting.limits.pause;
-        let hold = Hold {
+        let idle_timeout = self.setting.limits.pause;
+        let guard = ResponseGuard {
             _in_flight: in_flight,
-            _place: place,
-            pause,
+            _caller_limit: caller_limit,
+            idle_timeout,
         };
-        let key = self.key(route, origin, parts, &matched)?;
-        let (whole, size) = match key {
+        let key = self.idempotency_key(route, origin, parts, &matched)?;
+        let (buffer, size) = match key {
             Some(_) => (usize::MAX, self.setting.limits.once_body),
-            None => (REPLAYABLE, self.setting.limits.body),
+            None => (REPLAYABLE_BYTES, self.setting.limits.body),
         };
-        let bound = Bound {
+        let limits = request_body::Limits {
             size,
-            pause,
-            until: routed.clock.deadline,
+            idle_timeout,
+            deadline: routed.timing.deadline,
         };
-        let mut intake = Intake::read(body, whole, bound).await?;
+        let mut body = RequestBody::read(body, buffer, limits).await?;
         let rule = matched.rule.name.clone();
-        let service = self.deal(&rule, route);
-        let mut job = self.job(&routed, service, matched.caller, &intake);
+        let service = self.choose_service(&rule, route);
+        let mut job = self.build_job(&routed, service, matched.caller, &body);
         job.class = Digest::of(rule.as_bytes()).0 as u32;
         if let Some(key) = key {
             let once = Once {
                 job,
                 key,
-                body: intake.whole(),
+                body: body.into_bytes(),
                 rule,
-                hold,
+                guard,
             };
             return once.serve().await;
         }
-        let answer = Tries::new(&mut job).run(&mut intake).await?;
-        Ok(answer.response(Bytes::new(), hold))
+        let answer = Attempts::new(&mut job).run(&mut body).await?;
+        Ok(answer.response(Bytes::new(), guard))
     }
 
-    fn job(
+    fn build_job(
         self: &Arc<Self>,
         routed: &Routed<'_>,
         service: Service,
         caller: Caller,
-        intake: &Intake,
+        body: &RequestBody,
     ) -> Job {
         let Routed {
             origin,
@@ -168,18 +171,18 @@
             caller,
             urgency: urgency(origin, route),
             depth: routed.depth,
-            deadline: routed.clock.deadline,
-            goal: routed.clock.goal,
-            again: routed.clock.again,
+            deadline: routed.timing.deadline,
+            goal: routed.timing.goal,
+            is_retry: routed.timing.is_retry,
             class: 0,
             budget: budget(origin),
-            kind: head.kind(intake.start()),
+            kind: head.kind(body.start()),
             head,
         }
     }
 
-    /// The claim's key, if the rule says that the request may not be repeated.
-    fn key(
+    /// The key to claim, if the rule says that the request may not be repeated.
+    fn idempotency_key(
         &self,
         route: &Route,
         origin: &Origin,
@@ -189,7 +192,7 @@
         let Some(key) = &route.once else {
             return Ok(None);
         };
-        let request = self.as_ruled(origin, parts, parts.uri.path(), &matched.caller);
+        let request = self.rule_request(origin, parts, parts.uri.path(), &matched.caller);
         let found = key.find(&request);
         let found = found.map_err(|e| Refusal::not_run(Reason::Malformed).detail(e))?;
         let missing = || {
@@ -210,7 +213,7 @@
         (self.setting.rules)().ok_or_else(none)
     }
 
-    fn matched<'a>(
+    fn match_rule<'a>(
         &self,
         document: &'a Document,
         origin: &Origin,
@@ -225,14 +228,14 @@
             }
         };
         let caller = self.caller(document, origin, parts)?;
-        let rule = document.decide(&self.as_ruled(origin, parts, &path, &caller));
+        let rule = document.decide(&self.rule_request(origin, parts, &path, &caller));
         let rule =
             rule.ok_or_else(|| Refusal::not_run(Reason::NoRule).detail("no rule matches"))?;
         Ok(Matched { rule, caller })
     }
 
-    /// The request as the rules see it.
-    fn as_ruled<'a>(
+    /// The properties of the request that rules match on.
+    fn rule_request<'a>(
         &'a self,
         origin: &Origin,
         parts: &'a Parts,
@@ -251,8 +254,8 @@
         }
     }
 
-    /// Who asks. A nested call is made for the caller at the top; one that its target makes of its
-    /// own accord is the service's.
+    /// The caller of the request. A nested call counts for the caller of the outermost call; a call
+    /// that the target makes outside any running call counts for its service.
     fn caller(
         &self,
         document: &Document,
@@ -260,21 +263,21 @@
         parts: &Parts,
     ) -> Result<Caller, Refusal> {
         match origin {
-            // Requests are known by the service where they begin.
-            Origin::Outside(_) if self.setting.dialect.origin.is_some() => self.own_name(),
+            // The platform identifies requests by the service where they begin.
+            Origin::Outside(_) if self.setting.dialect.origin.is_some() => self.own_caller(),
             Origin::Outside(peer) => Ok(document.caller(&parts.headers, *peer)),
             Origin::Nested(Some(parent)) => Ok(parent.context().caller.clone()),
-            Origin::Nested(None) => self.own_name(),
+            Origin::Nested(None) => self.own_caller(),
         }
     }
 
-    /// The own service as a caller.
-    fn own_name(&self) -> Result<Caller, Refusal> {
+    /// This instance's service as a caller.
+    fn own_caller(&self) -> Result<Caller, Refusal> {
         let caller = self.setting.service.as_str().parse();
         caller.map_err(|e| Refusal::not_run(Reason::Malformed).detail(e))
     }
 
-    fn place(
+    fn enter_caller_limit(
         &self,
         rule: &Rule,
         route: &Route,
@@ -283,7 +286,7 @@
         let Some(each) = route.per_caller else {
             return Ok(None);
         };
-        let entered = self.places(&rule.name, each).enter(caller);
+        let entered = self.caller_limit(&rule.name, each).enter(caller);
         let refused = |e| {
             Refusal::not_run(Reason::CallerLimit)
                 .detail(e)
@@ -292,18 +295,18 @@
         entered.map(Some).map_err(refused)
     }
 
-    /// By when the request has to be answered: within the rule's timeout, what the caller says it
-    /// has left, and the deadline of the call above.
+    /// Computes the deadline of the request: the earliest of the rule's timeout, the time that the
+    /// caller reports as left, and the deadline of the enclosing call.
     ///
-    /// The goal counts from the caller's first try. A nested call has none: the run that waits for
-    /// it is wasted if the call is given up.
-    fn clock(
+    /// The latency goal counts from the caller's first attempt. A nested call has no goal: if it were
+    /// given up for being late, the run that waits for it would be wasted.
+    fn timing(
         &self,
         rule: &str,
         origin: &Origin,
         parts: &Parts,
         route: &Route,
-    ) -> Result<Clock, Refusal> {
+    ) -> Result<Timing, Refusal> {
         let left = self.setting.dialect.time_left(&parts.headers);
         let left = left.map_err(|_| {
             Refusal::not_run(Reason::Malformed).detail("the time left is no number of milliseconds")
@@ -313,14 +316,14 @@
         if let Origin::Nested(Some(parent)) = origin {
             deadline = deadline.min(parent.context().deadline);
         }
-        let waited = left.map_or(Duration::ZERO, |left| self.waited(rule, left));
+        let waited = left.map_or(Duration::ZERO, |left| self.time_waited(rule, left));
         let outside = matches!(origin, Origin::Outside(_));
         let objective = route.objective.filter(|_| outside);
         let goal = objective.map(|objective| now + objective.saturating_sub(waited));
-        Ok(Clock {
+        Ok(Timing {
             deadline,
             goal,
-            again: waited >= ASKED_BEFORE,
+            is_retry: waited >= MIN_RETRY_WAIT,
         })
     }
 
@@ -336,15 +339,15 @@
     }
 }
 
-fn ruled_out(refuse: &rule::Refuse) -> Refusal {
+fn refused_by_rule(refuse: &rule::Refuse) -> Refusal {
     let status = StatusCode::from_u16(refuse.status).unwrap_or(StatusCode::FORBIDDEN);
     Refusal::not_run(Reason::Rule)
         .status(status)
         .detail(&refuse.reason)
 }
 
-/// A nested call is as urgent as the call that it serves: a court clerk's look-up must not wait
-/// behind index searches one level down.
+/// The urgency of the request. A nested call inherits that of its enclosing call, so that an urgent
+/// look-up does not wait behind index searches one level down.
 fn urgency(origin: &Origin, route: &Route) -> Urgency {
     match origin {
         Origin::Nested(Some(parent)) => parent.context().urgency,
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -1,4 +1,4 @@
-//! One request on its way to a target.
+//! The state of one request that its attempts share.
 
 use std::sync::Arc;
 
@@ -12,62 +12,62 @@
 
 use crate::{Entry, Upstream};
 
-/// How many bytes of a body count for the fingerprint of a request.
-const KIND_BYTES: usize = 1_024;
+/// How many bytes of the body go into the fingerprint of a request.
+const FINGERPRINT_BODY_BYTES: usize = 1_024;
 
-/// One request, with all that its tries share.
+/// One request that is forwarded to a service.
 pub(crate) struct Job {
-    /// What the request is called in logs: its caller's name for it, where it has one.
+    /// The id of the request in logs: the one that its caller has given it, or `none`.
     pub(crate) id: String,
     pub(crate) entry: Arc<Entry>,
     pub(crate) upstream: Arc<Upstream>,
     pub(crate) route: Route,
-    /// The part of the route that the request goes to.
+    /// The service that the request goes to; one of several if the route is split.
     pub(crate) service: Service,
     pub(crate) caller: Caller,
     pub(crate) urgency: Urgency,
     pub(crate) depth: Depth,
     pub(crate) deadline: Instant,
-    /// When the answer is worth little to the caller.
+    /// When the latency goal ends; a later answer is worth little to the caller.
     pub(crate) goal: Option<Instant>,
-    /// The caller was refused before, and asks again.
-    pub(crate) again: bool,
-    /// The kind of work; see [`wire::Call::class`].
+    /// Whether the caller is retrying a request that was refused before.
+    pub(crate) is_retry: bool,
+    /// The class of work; see [`wire::Call::class`].
     pub(crate) class: u32,
     pub(crate) budget: Budget,
     pub(crate) kind: Digest,
     pub(crate) head: Head,
 }
 
-/// The head of the request as the target shall see it.
+/// The head of the request as it is sent to the target.
 pub(crate) struct Head {
     pub(crate) method: Method,
     pub(crate) uri: String,
     pub(crate) headers: Vec<Header>,
 }
 
-/// The retry allowance: the request's own, or the one shared by all calls below one call.
+/// The retry allowance: the request's own, or the one that all calls nested in one call share.
 pub(crate) enum Budget {
-    /// A caller's own request.
+    /// The allowance of a request from outside.
     Own(Allowance),
-    /// A nested call.
+    /// The allowance of the running call that the nested call belongs to.
     Shared(Parent),
 }
 
 impl Budget {
-    /// Asks the budget of `upstream` for one more try.
+    /// Asks the budget of `upstream` for one more attempt.
     pub(crate) fn ask(&mut self, upstream: &Upstream, cause: Cause) -> bool {
         let now = Instant::now();
-        self.change(|allowance| upstream.ask(now, allowance, cause))
+        self.change(|allowance| upstream.ask_budget(now, allowance, cause))
     }
 
-    /// Takes in what an answer says is left.
+    /// Updates the allowance with what an answer reports as left.
     pub(crate) fn settle(&mut self, kind: pick::Kind, back: Option<u8>) {
         let back = back.map(Allowance::from_units);
         self.change(|allowance| *allowance = allowance.after(kind, back));
     }
 
-    /// What is left for the calls below.
+    /// The units that are left for nested calls.
     pub(crate) fn units(&mut self) -> u8 {
         self.change(|allowance| allowance.units())
     }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Sets a header that is the entry's to say, whatever the caller has said.
+    /// Sets a header, replacing whatever the caller has sent under that name.
     pub(crate) fn set(&mut self, name: &HeaderName, value: &str) {
         self.headers.retain(|header| header.name != name.as_str());
         self.headers.push(Header {
@@ -104,15 +104,15 @@
         });
     }
 
-    /// The fingerprint by which a request that crashes targets is known again.
+    /// The fingerprint by which further requests like one that crashed a target are recognized.
     pub(crate) fn kind(&self, body: &[u8]) -> Digest {
-        let start = &body[..body.len().min(KIND_BYTES)];
+        let start = &body[..body.len().min(FINGERPRINT_BODY_BYTES)];
         Digest::of_parts(&[self.method.as_str().as_bytes(), self.uri.as_bytes(), start])
     }
 }
 
 impl Job {
-    /// The first frame of a try.
+    /// Builds the frame that opens an attempt.
     pub(crate) fn call(&mut self, token: Token, body: Payload, elsewhere: bool) -> Call {
         Call {
             token,
@@ -137,12 +137,12 @@
         }
     }
 
-    /// The request may run more than once.
+    /// Whether the request may run more than once.
     pub(crate) fn repeatable(&self) -> bool {
         self.route.repeatable()
     }
 
-    /// Where the rule lets the request go.
+    /// The zones that the rule allows or prefers.
     pub(crate) fn zone(&self) -> pick::Preference {
         match self.route.zone {
             Preference::Near => pick::Preference::Near,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -18,20 +18,20 @@
 
 mod answer;
 mod attempt;
+mod attempts;
 mod builder;
 mod connection;
 mod handle;
 mod initial_timeout;
-mod intake;
 mod job;
 mod once;
 mod origin;
 mod port;
 mod refusal;
+mod request_body;
 pub mod server;
 mod state;
 mod stats;
-mod tries;
 mod upstream;
 
 pub use answer::OUTCOME;
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -1,4 +1,5 @@
-//! Requests that may not be repeated: claim before run, and one answer for all who ask.
+//! Requests that may not be repeated: each key is claimed before the run, and all requests with the
+//! same key get the answer of that one run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,54 +12,54 @@
 use unit::{Caller, Digest, Instance, Outcome, Service, Token};
 use wire::{Ask, Frame, Known, Peer, Receiver, Reply};
 
-use crate::answer::{self, Answer, Hold};
-use crate::attempt::{ask_after, token};
-use crate::intake::Intake;
+use crate::answer::{self, Answer, ResponseGuard};
+use crate::attempt::{ask_about_token, fresh_token};
+use crate::attempts::Attempts;
 use crate::job::Job;
-use crate::tries::Tries;
+use crate::request_body::RequestBody;
 use crate::{Body, Entry, Reason, Refusal};
 
-/// Pause before a key whose run has just ended is claimed again.
-const CLAIM_AGAIN: Duration = Duration::from_millis(20);
+/// Delay before a key is claimed again; the first of the delays that double for an unconfirmed run.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest pause between two looks at a key whose holder can't tell of it; the pauses double up to it.
-const LOOK_PAUSE: Duration = Duration::from_millis(160);
+/// Longest delay between two claims of a key whose run is unconfirmed; the delays double up to it.
+const MAX_CLAIM_RETRY_DELAY: Duration = Duration::from_millis(160);
 
-/// How long after its claim was seen a run may begin at its entry. An entry that has not heard of
-/// its grant in 1.5 s gives the claim up.
-const BEGINS_WITHIN: Duration = Duration::from_millis(1_500);
+/// How long after its claim was first seen a run may remain unconfirmed before it counts as lost. An
+/// entry that does not learn of its grant within 1.5 s gives up the claim.
+const MAX_START_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Why a claim was not had: the request has not run.
+/// Why a key could not be claimed. The request has not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NoClaim {
-    /// What failed, at which step and peer.
+    /// What failed, at which step, and at which peer.
     pub cause: String,
-    /// When it is worth trying again.
+    /// How long to wait before another attempt is worthwhile.
     pub retry_after: Duration,
 }
 
-/// What the ledger says to a claim.
+/// The ledger's answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Granted {
-    /// The token that the claim was made under in the end; each owner asked gets a fresh one.
+    /// The token under which the claim was finally made; each owner that is asked gets a fresh one.
     pub token: Token,
-    /// What became of it.
+    /// The result of the claim.
     pub claimed: Claimed,
 }
 
-type AskClaim = dyn Fn(Claim) -> BoxFuture<'static, Result<Granted, NoClaim>> + Send + Sync;
-type Tell = dyn Fn(End) + Send + Sync;
+type ClaimKey = dyn Fn(Claim) -> BoxFuture<'static, Result<Granted, NoClaim>> + Send + Sync;
+type ReportEnd = dyn Fn(End) + Send + Sync;
 
-/// The way to the ledger.
+/// The functions by which an entry reaches the ledger.
 pub struct Claims {
-    /// Claims a key; an error means that the request must not run.
-    pub claim: Box<AskClaim>,
-    /// Reports an end; it is delivered in the background.
-    pub end: Box<Tell>,
+    /// Claims a key. After an error the request must not run.
+    pub claim: Box<ClaimKey>,
+    /// Reports the end of a run; the report is delivered in the background.
+    pub end: Box<ReportEnd>,
 }
 
 impl Claims {
-    /// No way to any ledger: every claim fails.
+    /// Claims without a ledger: every claim fails.
     pub(crate) fn none() -> Claims {
         let cause = "no ledger".to_string();
         let no = NoClaim {
@@ -72,7 +73,8 @@
     }
 }
 
-/// The key under which a request of `caller` to `service` is claimed: keys count per caller.
+/// The key under which a request of `caller` to `service` is claimed. Equal keys of different callers
+/// or for different services are independent.
 pub fn claim_key(caller: &Caller, service: &Service, key: &str) -> Digest {
     let parts = [
         caller.as_str().as_bytes(),
@@ -82,64 +84,69 @@
     Digest::of_parts(&parts)
 }
 
-/// A request that may not be repeated, on its way.
+/// A request that may not be repeated.
 pub(crate) struct Once {
     pub(crate) job: Job,
     pub(crate) key: Digest,
     pub(crate) body: Bytes,
     pub(crate) rule: String,
-    pub(crate) hold: Hold,
+    pub(crate) guard: ResponseGuard,
 }
 
-/// A run that nobody could tell of when its key was looked at last.
-struct Silence {
+/// A claimed run that no instance could confirm at the last claim of its key.
+struct Unconfirmed {
     token: Token,
-    /// It counts as lost after this.
+    /// The run counts as lost if it is still unconfirmed at this time.
     until: Instant,
-    /// The pause before the next look.
-    pause: Duration,
+    /// The delay before the next claim.
+    delay: Duration,
 }
 
-impl Silence {
-    /// The silence of `token`, which begins now unless it has begun before.
-    fn of(token: Token, silence: &mut Option<Silence>) -> &Silence {
-        if silence.as_ref().is_some_and(|known| known.token != token) {
-            *silence = None;
+impl Unconfirmed {
+    /// Returns the state of `token`, in place of that of another token. The time is counted from the
+    /// first claim that found the run unconfirmed.
+    fn of(token: Token, unconfirmed: &mut Option<Unconfirmed>) -> &Unconfirmed {
+        if unconfirmed
+            .as_ref()
+            .is_some_and(|known| known.token != token)
+        {
+            *unconfirmed = None;
         }
-        silence.get_or_insert_with(|| Silence {
+        unconfirmed.get_or_insert_with(|| Unconfirmed {
             token,
-            until: Instant::now() + BEGINS_WITHIN,
-            pause: CLAIM_AGAIN,
+            until: Instant::now() + MAX_START_DELAY,
+            delay: CLAIM_RETRY_DELAY,
         })
     }
 
-    /// The pause before the next look; each is twice as long as the one before.
-    fn pause(&mut self) -> Duration {
-        let pause = self.pause;
-        self.pause = (pause * 2).min(LOOK_PAUSE);
-        pause
+    /// The delay before the next claim. Each delay is twice as long as the previous one, up to
+    /// [`MAX_CLAIM_RETRY_DELAY`].
+    fn next_delay(&mut self) -> Duration {
+        let delay = self.delay;
+        self.delay = (delay * 2).min(MAX_CLAIM_RETRY_DELAY);
+        delay
     }
 }
 
-/// What came of the first run of a key, for one who asks again.
-enum Joined {
-    /// The first run's answer.
+/// The state of the first run of a key, as another request with that key finds it.
+enum FirstRun {
+    /// The run has ended with this answer.
     Answer(held::Answer),
-    /// It still runs.
+    /// The run has not ended.
     Running,
-    /// It has ended, and its answer is gone.
-    Gone,
-    /// The instance that it came by does not know of it.
-    Unheard,
-    /// Nobody can be asked.
+    /// The run has ended, and its answer is no longer held.
+    Discarded,
+    /// The instance that holds the claim does not know the run.
+    Unknown,
+    /// The instance that holds the claim can't be asked.
     Unreachable,
 }
 
 impl Once {
-    /// Claims, runs or joins, and answers.
+    /// Claims the key, then runs the request or waits for the run that holds the key.
     ///
-    /// It runs in a task of its own to its end, whether its caller waits or not: the end of a
-    /// claimed request must be recorded.
+    /// The work is done in a separate task that continues when the caller disconnects, because the
+    /// end of a claimed request must be recorded.
     pub(crate) async fn serve(self) -> Result<Response<Body>, Refusal> {
         let (id, key) = (self.job.id.clone(), self.key);
         let served = tokio::spawn(self.run()).await;
@@ -155,34 +162,36 @@
                 "entry: id={id} once={key} status={} reason={} detail={:?}.",
                 refusal.status_code(),
                 refusal.reason(),
-                refusal.words(),
+                refusal.detail_text(),
             ),
         }
         served
     }
 
     async fn run(self) -> Result<Response<Body>, Refusal> {
-        let mut silence = None;
+        let mut unconfirmed = None;
         loop {
             let Granted { token, claimed } = self.claim().await?;
             match claimed {
-                Claimed::Granted => return self.granted(token).await,
+                Claimed::Granted => return self.run_claimed(token).await,
                 Claimed::Mismatch => return Err(mismatch()),
-                Claimed::Done(record) => return self.done(&record).await,
+                Claimed::Done(record) => return self.answer_done(&record).await,
                 Claimed::Running(record) => {
-                    if let Some(answered) = self.running(&record, &mut silence).await {
+                    if let Some(answered) = self.wait_for_running(&record, &mut unconfirmed).await {
                         return answered;
                     }
                 }
             }
-            let pause = silence.as_mut().map_or(CLAIM_AGAIN, Silence::pause);
-            sleep(pause).await;
+            let delay = unconfirmed
+                .as_mut()
+                .map_or(CLAIM_RETRY_DELAY, Unconfirmed::next_delay);
+            sleep(delay).await;
         }
     }
 
     async fn claim(&self) -> Result<Granted, Refusal> {
-        // A claim that was given up is released by its token, so each gets a fresh one.
-        let token = token();
+        // An abandoned claim is released by its token, so each claim needs a fresh one.
+        let token = fresh_token();
         let claim = Claim {
             key: self.key,
             body: Digest::of(&self.body),
@@ -204,18 +213,18 @@
         &self.job.entry
     }
 
-    /// The claim is ours: run, record the end, answer.
-    async fn granted(mut self, token: Token) -> Result<Response<Body>, Refusal> {
+    /// Runs the request under its granted claim, reports the end, and answers.
+    async fn run_claimed(mut self, token: Token) -> Result<Response<Body>, Refusal> {
         let running = self.entry().setting.held.begin(token);
-        let mut intake = match self.body.is_empty() {
-            true => Intake::Empty,
-            false => Intake::Whole(self.body.clone()),
+        let mut body = match self.body.is_empty() {
+            true => RequestBody::Empty,
+            false => RequestBody::Complete(self.body.clone()),
         };
-        let tried = Tries::new(&mut self.job).run(&mut intake).await;
-        let answer = match tried {
+        let result = Attempts::new(&mut self.job).run(&mut body).await;
+        let answer = match result {
             Ok(answer) => answer,
             Err(refusal) => {
-                self.end(token, refusal.outcome(), None, 0);
+                self.report_end(token, refusal.outcome(), None, 0);
                 return Err(refusal);
             }
         };
@@ -225,57 +234,58 @@
             gate,
         } = answer;
         let status = reply.status;
-        match collect(&mut receiver, self.hold.pause).await {
-            Collected::Whole(body) => {
-                self.end(token, Outcome::Ran, Some(gate.clone()), status);
+        match collect(&mut receiver, self.guard.idle_timeout).await {
+            Collected::Complete(body) => {
+                self.report_end(token, Outcome::Ran, Some(gate.clone()), status);
                 let kept = held::Answer { reply, body };
-                let response = answer::whole(kept.clone(), Outcome::Ran, Some(&gate));
+                let response = answer::complete_response(kept.clone(), Outcome::Ran, Some(&gate));
                 running.done(kept);
                 Ok(response)
             }
-            Collected::Large(start) => {
-                self.end(token, Outcome::Ran, Some(gate.clone()), status);
+            Collected::TooLarge(start) => {
+                self.report_end(token, Outcome::Ran, Some(gate.clone()), status);
                 Ok(Answer {
                     reply,
                     receiver,
                     gate,
                 }
-                .response(start, self.hold))
+                .response(start, self.guard))
             }
-            Collected::Cut(cause) => Err(self.cut(token, gate, status, cause)),
-            Collected::Lost(cause) => match self.rest(&reply, &gate).await {
+            Collected::Truncated(cause) => Err(self.truncated(token, gate, status, cause)),
+            Collected::LinkLost(cause) => match self.fetch_held_answer(&reply, &gate).await {
                 Some(kept) => {
-                    self.end(token, Outcome::Ran, Some(gate.clone()), status);
-                    let response = answer::whole(kept.clone(), Outcome::Ran, Some(&gate));
+                    self.report_end(token, Outcome::Ran, Some(gate.clone()), status);
+                    let response =
+                        answer::complete_response(kept.clone(), Outcome::Ran, Some(&gate));
                     running.done(kept);
                     Ok(response)
                 }
-                None => Err(self.cut(token, gate, status, cause)),
+                None => Err(self.truncated(token, gate, status, cause)),
             },
         }
     }
 
-    fn cut(&self, token: Token, gate: Instance, status: u16, cause: String) -> Refusal {
-        self.end(token, Outcome::Unknown, Some(gate), status);
+    fn truncated(&self, token: Token, gate: Instance, status: u16, cause: String) -> Refusal {
+        self.report_end(token, Outcome::Unknown, Some(gate), status);
         Refusal::unknown(Reason::Lost).detail(cause)
     }
 
-    /// The answer whose link broke in its middle. The gate reads it to the end and keeps it, so we
-    /// ask for it by the token of the try.
-    async fn rest(&self, reply: &Reply, gate: &Instance) -> Option<held::Answer> {
-        let until = self.job.deadline.max(Instant::now() + ASK_AT_LEAST);
+    /// Fetches an answer after its link broke partway. The gate reads the answer to its end and holds
+    /// it, so it can be requested by the token of the attempt.
+    async fn fetch_held_answer(&self, reply: &Reply, gate: &Instance) -> Option<held::Answer> {
+        let until = self.job.deadline.max(Instant::now() + MIN_ASK_TIMEOUT);
         let peer = (self.entry().setting.peers)(gate)?;
         while Instant::now() < until {
             match timeout_at(until, self.ask(&peer, reply.token, until)).await {
-                Ok(Joined::Answer(answer)) => return Some(answer),
-                Ok(Joined::Running | Joined::Unreachable) => sleep(CLAIM_AGAIN).await,
-                Ok(Joined::Gone | Joined::Unheard) | Err(_) => return None,
+                Ok(FirstRun::Answer(answer)) => return Some(answer),
+                Ok(FirstRun::Running | FirstRun::Unreachable) => sleep(CLAIM_RETRY_DELAY).await,
+                Ok(FirstRun::Discarded | FirstRun::Unknown) | Err(_) => return None,
             }
         }
         None
     }
 
-    fn end(&self, token: Token, outcome: Outcome, target: Option<Instance>, status: u16) {
+    fn report_end(&self, token: Token, outcome: Outcome, target: Option<Instance>, status: u16) {
         let at = Moment::now();
         let end = End {
             key: self.key,
@@ -288,42 +298,50 @@
         (self.entry().setting.claims.end)(end);
     }
 
-    /// The key has run: its answer if it is still held, else the record.
-    async fn done(&self, record: &Record) -> Result<Response<Body>, Refusal> {
-        match self.join(record, Instant::now()).await {
-            Joined::Answer(answer) => Ok(answer::whole(answer, Outcome::AlreadyRun, None)),
-            _ => Err(on_record(record)),
+    /// Answers a request whose key has run: with the answer if it is still held, otherwise with a
+    /// refusal that describes the record.
+    async fn answer_done(&self, record: &Record) -> Result<Response<Body>, Refusal> {
+        match self.first_run(record, Instant::now()).await {
+            FirstRun::Answer(answer) => {
+                Ok(answer::complete_response(answer, Outcome::AlreadyRun, None))
+            }
+            _ => Err(refusal_from_record(record)),
         }
     }
 
-    /// The key runs: waits for the same answer. `None` if the key may be free by now, so that it is
-    /// worth another claim.
+    /// Waits for the answer of the run that holds the key. `None` if the key may be free by now, so
+    /// that it should be claimed again.
     ///
-    /// An entry that knows nothing of its run, or can't be asked, proves nothing at first: a claim is
-    /// on record a moment before its entry hears so, and the claim of a request that was refused as
-    /// not run stays on record until its release is written, while links of daemons that have just
-    /// started still fail. A resend in that time would be told that the first request is lost,
-    /// though it runs or the key is free. So the ledger is asked again for a while.
-    async fn running(
+    /// If the entry of that run does not know it or can't be asked, this does not yet show that the
+    /// run is lost. A claim is recorded shortly before its entry receives the grant, the claim of a
+    /// request that was refused as not run stays recorded until its release is written, and links to
+    /// daemons that have just started may fail. A request that is resent in that time would be
+    /// answered as lost although the first one is running or the key is free. So the key is claimed
+    /// again for up to [`MAX_START_DELAY`].
+    async fn wait_for_running(
         &self,
         record: &Record,
-        silence: &mut Option<Silence>,
+        unconfirmed: &mut Option<Unconfirmed>,
     ) -> Option<Result<Response<Body>, Refusal>> {
         let deadline = self.job.deadline;
-        let joined = self.join(record, deadline).await;
-        let is_silent = matches!(joined, Joined::Unheard | Joined::Unreachable);
-        if !is_silent {
-            *silence = None;
+        let first_run = self.first_run(record, deadline).await;
+        let is_unconfirmed = matches!(first_run, FirstRun::Unknown | FirstRun::Unreachable);
+        if !is_unconfirmed {
+            *unconfirmed = None;
         }
-        match joined {
-            Joined::Answer(answer) => Some(Ok(answer::whole(answer, Outcome::AlreadyRun, None))),
-            Joined::Gone if Instant::now() + CLAIM_AGAIN < deadline => None,
-            Joined::Gone | Joined::Running => {
+        match first_run {
+            FirstRun::Answer(answer) => Some(Ok(answer::complete_response(
+                answer,
+                Outcome::AlreadyRun,
+                None,
+            ))),
+            FirstRun::Discarded if Instant::now() + CLAIM_RETRY_DELAY < deadline => None,
+            FirstRun::Discarded | FirstRun::Running => {
                 let detail = "the first request with this key has not ended yet";
                 Some(Err(Refusal::unknown(Reason::Deadline).detail(detail)))
             }
-            Joined::Unheard | Joined::Unreachable => {
-                let until = Silence::of(record.token, silence).until;
+            FirstRun::Unknown | FirstRun::Unreachable => {
+                let until = Unconfirmed::of(record.token, unconfirmed).until;
                 let now = Instant::now();
                 if now < until.min(deadline) {
                     return None;
@@ -341,30 +359,30 @@
         }
     }
 
-    /// Waits until `until` for the answer of the run that holds the key.
-    async fn join(&self, record: &Record, until: Instant) -> Joined {
+    /// Waits until `until` for the answer of the run that holds the key, and returns its state.
+    async fn first_run(&self, record: &Record, until: Instant) -> FirstRun {
         let entry = self.entry();
         if record.entry == entry.setting.instance {
             return match entry.setting.held.wait(record.token, until).await {
-                held::Found::Answer(answer) => Joined::Answer(answer),
-                held::Found::Running => Joined::Running,
-                held::Found::Ended => Joined::Gone,
-                // A run of an earlier life of this instance leaves nothing behind.
-                held::Found::Nothing => Joined::Unheard,
+                held::Found::Answer(answer) => FirstRun::Answer(answer),
+                held::Found::Running => FirstRun::Running,
+                held::Found::Ended => FirstRun::Discarded,
+                // Nothing is kept of the runs of an earlier life of this instance.
+                held::Found::Nothing => FirstRun::Unknown,
             };
         }
         let Some(peer) = (entry.setting.peers)(&record.entry) else {
-            return Joined::Unreachable;
+            return FirstRun::Unreachable;
         };
         let asked = timeout_at(
-            until.max(Instant::now() + ASK_AT_LEAST),
+            until.max(Instant::now() + MIN_ASK_TIMEOUT),
             self.ask(&peer, record.token, until),
         );
-        asked.await.unwrap_or(Joined::Running)
+        asked.await.unwrap_or(FirstRun::Running)
     }
 
     /// Asks `peer` for the answer under `token`.
-    async fn ask(&self, peer: &Peer, token: Token, until: Instant) -> Joined {
+    async fn ask(&self, peer: &Peer, token: Token, until: Instant) -> FirstRun {
         let wait = until.saturating_duration_since(Instant::now());
         let ask = Ask {
             token,
@@ -372,59 +390,61 @@
             wait,
             remaining: wait,
         };
-        let Ok(mut receiver) = ask_after(self.entry(), peer, ask).await else {
-            return Joined::Unreachable;
+        let Ok(mut receiver) = ask_about_token(self.entry(), peer, ask).await else {
+            return FirstRun::Unreachable;
         };
         match receiver.recv().await {
-            Ok(Some(Frame::Known(Known::Running))) => Joined::Running,
-            Ok(Some(Frame::Known(Known::Done { held: false }))) => Joined::Gone,
-            Ok(Some(Frame::Known(Known::Unknown { .. }))) => Joined::Unheard,
+            Ok(Some(Frame::Known(Known::Running))) => FirstRun::Running,
+            Ok(Some(Frame::Known(Known::Done { held: false }))) => FirstRun::Discarded,
+            Ok(Some(Frame::Known(Known::Unknown { .. }))) => FirstRun::Unknown,
             Ok(Some(Frame::Known(Known::Done { held: true }))) => {
-                kept(&mut receiver, self.hold.pause).await
+                read_held_answer(&mut receiver, self.guard.idle_timeout).await
             }
-            _ => Joined::Unreachable,
+            _ => FirstRun::Unreachable,
         }
     }
 }
 
-/// A question to another entry gets at least this long, also when nothing is waited for.
-const ASK_AT_LEAST: Duration = Duration::from_millis(500);
+/// Shortest timeout of a question to another instance, even if the wait for the run is zero.
+const MIN_ASK_TIMEOUT: Duration = Duration::from_millis(500);
 
-async fn kept(receiver: &mut Receiver, pause: Duration) -> Joined {
+async fn read_held_answer(receiver: &mut Receiver, idle_timeout: Duration) -> FirstRun {
     let Ok(Some(Frame::Reply(reply))) = receiver.recv().await else {
-        return Joined::Unreachable;
+        return FirstRun::Unreachable;
     };
-    match collect(receiver, pause).await {
-        Collected::Whole(body) => Joined::Answer(held::Answer { reply, body }),
-        Collected::Large(_) | Collected::Cut(_) | Collected::Lost(_) => Joined::Unreachable,
+    match collect(receiver, idle_timeout).await {
+        Collected::Complete(body) => FirstRun::Answer(held::Answer { reply, body }),
+        Collected::TooLarge(_) | Collected::Truncated(_) | Collected::LinkLost(_) => {
+            FirstRun::Unreachable
+        }
     }
 }
 
-/// A body read into memory.
+/// The result of reading the body of an answer into memory.
 enum Collected {
-    /// All of it.
-    Whole(Bytes),
-    /// Its beginning; it is too large to be kept.
-    Large(Bytes),
-    /// It broke off, for this reason.
-    Cut(String),
-    /// The link to the gate broke, for this reason; the answer itself may go on.
-    Lost(String),
+    /// The complete body.
+    Complete(Bytes),
+    /// The bytes read so far of a body that is too large to be held.
+    TooLarge(Bytes),
+    /// The body ended early, for this reason.
+    Truncated(String),
+    /// The link to the gate broke, for this reason; the gate may still be receiving the answer.
+    LinkLost(String),
 }
 
-async fn collect(receiver: &mut Receiver, pause: Duration) -> Collected {
+async fn collect(receiver: &mut Receiver, idle_timeout: Duration) -> Collected {
     let mut body = BytesMut::new();
     loop {
-        match timeout(pause, receiver.recv()).await {
+        match timeout(idle_timeout, receiver.recv()).await {
             Ok(Ok(Some(Frame::Data(data)))) => body.extend_from_slice(&data),
-            Ok(Ok(Some(Frame::End))) => return Collected::Whole(body.freeze()),
-            Ok(Ok(Some(Frame::Abort(abort)))) => return Collected::Cut(abort.cause),
-            Ok(Ok(_)) => return Collected::Cut("the answer was cut".to_string()),
-            Ok(Err(error)) => return Collected::Lost(error.to_string()),
-            Err(_) => return Collected::Cut(format!("no byte for {pause:?}")),
+            Ok(Ok(Some(Frame::End))) => return Collected::Complete(body.freeze()),
+            Ok(Ok(Some(Frame::Abort(abort)))) => return Collected::Truncated(abort.cause),
+            Ok(Ok(_)) => return Collected::Truncated("the answer was cut".to_string()),
+            Ok(Err(error)) => return Collected::LinkLost(error.to_string()),
+            Err(_) => return Collected::Truncated(format!("no byte for {idle_timeout:?}")),
         }
         if body.len() > held::MAX_BODY {
-            return Collected::Large(body.freeze());
+            return Collected::TooLarge(body.freeze());
         }
     }
 }
@@ -433,9 +453,10 @@
     Refusal::not_run(Reason::KeyMismatch).detail("this key was used with another body")
 }
 
-/// What the record of a key says, when its answer is gone. One that ended open, or has no end, says
-/// only that the key may have run: a caller must not read it as done.
-fn on_record(record: &Record) -> Refusal {
+/// Builds the refusal for a key whose answer is no longer held, from its record. If the outcome is
+/// unknown or no end is recorded, the refusal only says that the request may have run, so that the
+/// caller does not take it as done.
+fn refusal_from_record(record: &Record) -> Refusal {
     let ended = record.end.as_ref();
     let outcome = ended.map_or("not recorded".to_string(), |end| end.outcome.to_string());
     let status = ended.map_or(0, |end| end.status);
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the entry's own: what became of the request, why, and when to come back.
+//! Refusals: answers that the entry gives itself, with the outcome, the reason and a retry time.
 
 use std::time::Duration;
 
@@ -10,67 +10,67 @@
 use crate::Body;
 use crate::answer::OUTCOME;
 
-/// The header that says why a request got no answer of a target.
+/// The header that gives the reason why a request got no answer from a target.
 pub const REASON: &str = "x-appleshore-reason";
 
-/// Why a request got no answer of a target.
+/// The reason why a request got no answer from a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// The path, a header or the body is not as HTTP or the rules ask for.
+    /// The path, a header or the body violates HTTP or the rules.
     #[display("malformed")]
     Malformed,
-    /// The body is larger than is allowed.
+    /// The head or the body exceeds its size limit.
     #[display("too-large")]
     TooLarge,
-    /// The caller was too slow in sending its body.
+    /// The caller sent its head or body too slowly.
     #[display("slow-body")]
     SlowBody,
-    /// A rule refuses such requests.
+    /// A rule refuses the request.
     #[display("rule")]
     Rule,
     /// No rule matches.
     #[display("no-rule")]
     NoRule,
-    /// The rules ask for a key, and the request has none.
+    /// The rules require an idempotency key, and the request has none.
     #[display("no-key")]
     NoKey,
     /// The key was used before with another body.
     #[display("key-mismatch")]
     KeyMismatch,
-    /// The caller has as many requests under way as it may.
+    /// The caller has reached its limit of concurrent requests.
     #[display("caller-limit")]
     CallerLimit,
-    /// Calls are nested too deep.
+    /// The call exceeds the maximum nesting depth.
     #[display("too-deep")]
     TooDeep,
     /// No target of the service is known or may be chosen.
     #[display("no-target")]
     NoTarget,
-    /// The gates that were asked have no room.
+    /// The gates that were asked are at capacity.
     #[display("full")]
     Full,
     /// The deadline can't be met, or has passed.
     #[display("deadline")]
     Deadline,
-    /// This instance is leaving.
+    /// This instance is shutting down.
     #[display("leaving")]
     Leaving,
-    /// Requests of this kind have crashed targets.
+    /// Requests with the same fingerprint are suspected of crashing targets.
     #[display("suspect")]
     Suspect,
-    /// No claim could be had for the key.
+    /// The key could not be claimed in the ledger.
     #[display("no-claim")]
     NoClaim,
     /// The link or the target was lost while the request may have run.
     #[display("lost")]
     Lost,
-    /// The key has run, or runs, and its answer is not at hand.
+    /// A request with this key has run, and its answer is no longer available.
     #[display("already-run")]
     AlreadyRun,
 }
 
-/// An answer of the entry's own.
+/// An answer that the entry gives itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
     outcome: Outcome,
@@ -78,12 +78,12 @@
     status: StatusCode,
     detail: String,
     retry_after: Option<Duration>,
-    /// The caller understands parts of a second.
-    exact: bool,
+    /// Whether the caller understands fractions of a second in `Retry-After`.
+    subsecond: bool,
 }
 
-/// When a caller may come back that no gate has told a time: a few service times.
-const RETRY_AFTER: Duration = Duration::from_millis(100);
+/// `Retry-After` for a caller when no gate has given a time: a few service times.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// The JSON body.
 #[derive(Serialize)]
@@ -96,12 +96,12 @@
 }
 
 impl Refusal {
-    /// The request reached no target and never will.
+    /// Builds a refusal of a request that has not run and never will.
     pub fn not_run(reason: Reason) -> Refusal {
-        Refusal::new(Outcome::NotRun, reason, status(reason))
+        Refusal::new(Outcome::NotRun, reason, default_status(reason))
     }
 
-    /// The request may have run.
+    /// Builds a refusal of a request that may have run.
     pub fn unknown(reason: Reason) -> Refusal {
         let status = match reason {
             Reason::Deadline => StatusCode::GATEWAY_TIMEOUT,
@@ -110,7 +110,7 @@
         Refusal::new(Outcome::Unknown, reason, status)
     }
 
-    /// The key of the request has run before.
+    /// Builds a refusal of a request whose key has run before.
     pub fn already_run() -> Refusal {
         Refusal::new(
             Outcome::AlreadyRun,
@@ -126,62 +126,62 @@
             status,
             detail: String::new(),
             retry_after: None,
-            exact: false,
+            subsecond: false,
         }
     }
 
-    /// Adds words for a person.
+    /// Sets the human-readable detail.
     pub fn detail(mut self, detail: impl ToString) -> Refusal {
         self.detail = detail.to_string();
         self
     }
 
-    /// Sets another status.
+    /// Sets the HTTP status, in place of the default for the reason.
     pub fn status(mut self, status: StatusCode) -> Refusal {
         self.status = status;
         self
     }
 
-    /// Tells the caller when to come back.
+    /// Sets how long the caller should wait before it retries.
     pub fn retry_after(mut self, after: Duration) -> Refusal {
         self.retry_after = Some(after);
         self
     }
 
-    /// What became of the request.
+    /// The outcome of the request.
     pub fn outcome(&self) -> Outcome {
         self.outcome
     }
 
-    /// The HTTP status.
     pub(crate) fn status_code(&self) -> u16 {
         self.status.as_u16()
     }
 
-    /// The words for a person; empty if there are none.
-    pub(crate) fn words(&self) -> &str {
+    /// The human-readable detail; empty if there is none.
+    pub(crate) fn detail_text(&self) -> &str {
         &self.detail
     }
 
-    /// Why.
+    /// The reason of the refusal.
     pub fn reason(&self) -> Reason {
         self.reason
     }
 
-    /// Makes a refusal that promises that nothing ran tell when to come back, in time for the
-    /// caller: within a third of the time that it has left.
-    pub(crate) fn fit(mut self, left: Duration) -> Refusal {
-        let comes_back = self.outcome == Outcome::NotRun && self.status.is_server_error()
+    /// Sets the retry time to at most a third of the caller's remaining time `left`, so that it can
+    /// still retry in time. Applies only to refusals that a retry may overcome: those for which
+    /// nothing ran, with a server error or status 429.
+    pub(crate) fn limit_retry_after(mut self, left: Duration) -> Refusal {
+        let may_retry = self.outcome == Outcome::NotRun && self.status.is_server_error()
             || self.status == StatusCode::TOO_MANY_REQUESTS;
-        if comes_back {
-            let after = self.retry_after.unwrap_or(RETRY_AFTER);
+        if may_retry {
+            let after = self.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
             self.retry_after = Some(after.min(left / 3));
-            self.exact = true;
+            self.subsecond = true;
         }
         self
     }
 
-    /// The answer to the caller.
+    /// Builds the HTTP response.
     pub fn response(&self) -> Response<Body> {
         let content = Content {
             outcome: self.outcome,
@@ -189,7 +189,7 @@
             detail: &self.detail,
             retry_after_ms: self.retry_after.map(|after| after.as_millis()),
         };
-        // The content is plain text and numbers; if it had no JSON form, an empty body would do.
+        // Text and numbers always serialize; an empty body would be acceptable otherwise.
         let json = serde_json::to_vec(&content).unwrap_or_default();
         let body = Full::from(json)
             .map_err(|never| match never {})
@@ -201,31 +201,31 @@
             header::CONTENT_TYPE,
             HeaderValue::from_static("application/json"),
         );
-        put(headers, OUTCOME, &self.outcome.to_string());
-        put(headers, REASON, &self.reason.to_string());
+        set_header(headers, OUTCOME, &self.outcome.to_string());
+        set_header(headers, REASON, &self.reason.to_string());
         if let Some(after) = self.retry_after {
-            let text = match self.exact {
+            let text = match self.subsecond {
                 true => format!("{:.3}", after.as_secs_f64()),
-                false => whole_seconds(after).to_string(),
+                false => round_up_to_seconds(after).to_string(),
             };
-            put(headers, header::RETRY_AFTER.as_str(), &text);
+            set_header(headers, header::RETRY_AFTER.as_str(), &text);
         }
         response
     }
 }
 
-/// HTTP counts `Retry-After` in whole seconds; we round up, so that nobody comes too early.
-fn whole_seconds(after: Duration) -> u64 {
+/// `Retry-After` in HTTP is an integer of seconds; rounding up keeps callers from retrying too early.
+fn round_up_to_seconds(after: Duration) -> u64 {
     after.as_secs() + u64::from(after.subsec_nanos() > 0)
 }
 
-pub(crate) fn put(headers: &mut http::HeaderMap, name: &'static str, value: &str) {
+pub(crate) fn set_header(headers: &mut http::HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-fn status(reason: Reason) -> StatusCode {
+fn default_status(reason: Reason) -> StatusCode {
     match reason {
         Reason::Malformed | Reason::NoKey => StatusCode::BAD_REQUEST,
         Reason::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -1,4 +1,4 @@
-//! One entry: what it holds, and what it counts.
+//! The state of an entry and its counters.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -15,20 +15,20 @@
 
 use crate::{Builder, InitialTimeout, Stats, Upstream};
 
-/// Routes of which something is remembered. When there are more, as after many changes of the
-/// rules, all is learnt anew.
-const MOST_ROUTES: usize = 4_096;
+/// Largest number of routes with per-route state. Beyond it, as after many changes of the rules, the
+/// state of all routes is discarded and built up again.
+const MAX_ROUTES: usize = 4_096;
 
 /// Serves the requests that come to one instance.
 pub struct Entry {
     pub(crate) setting: Builder,
     upstreams: Mutex<BTreeMap<Service, Arc<Upstream>>>,
-    places: Mutex<BTreeMap<String, Place>>,
-    /// Deals the requests of each weighted route.
-    wheels: Mutex<HashMap<String, Wheel>>,
-    /// What callers of each route say they will wait.
-    waits: Mutex<HashMap<String, InitialTimeout>>,
-    /// Entries that share the retry budget.
+    caller_limits: Mutex<BTreeMap<String, CallerLimit>>,
+    /// Distributes the requests of each route that is split over several services.
+    splits: Mutex<HashMap<String, Wheel>>,
+    /// The estimated initial timeout of the callers of each route.
+    timeouts: Mutex<HashMap<String, InitialTimeout>>,
+    /// Number of entries that share the retry budget.
     members: AtomicUsize,
     closing: AtomicBool,
     leaving: AtomicBool,
@@ -37,29 +37,29 @@
     stats: Stats,
 }
 
-/// The bound of one rule on the requests of each caller.
-struct Place {
+/// The limit of one rule on the concurrent requests of each caller.
+struct CallerLimit {
     each: u32,
     table: limit::Table,
 }
 
-/// One request under way; a planned stop waits until all are dropped.
+/// Counts a request as in flight until it is dropped; a planned stop waits for that.
 pub struct InFlight {
     open: watch::Sender<usize>,
 }
 
-/// How many requests ended in which way.
+/// Number of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Count {
-    /// A target's answer was relayed.
+    /// Requests whose answer from a target was relayed.
     pub ran: u64,
-    /// The request reached no target.
+    /// Requests that reached no target.
     pub not_run: u64,
-    /// The request may have run.
+    /// Requests that may have run.
     pub unknown: u64,
-    /// The key had run before.
+    /// Requests whose key had run before.
     pub already_run: u64,
-    /// Requests under way now.
+    /// Requests in flight now.
     pub open: u64,
 }
 
@@ -68,9 +68,9 @@
         Entry {
             setting,
             upstreams: Mutex::default(),
-            places: Mutex::default(),
-            wheels: Mutex::default(),
-            waits: Mutex::default(),
+            caller_limits: Mutex::default(),
+            splits: Mutex::default(),
+            timeouts: Mutex::default(),
             members: AtomicUsize::new(1),
             closing: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Sets the targets of a service, as the roster has them.
+    /// Sets the targets of a service to those in the roster.
     pub fn set_targets(&self, service: &Service, targets: &[pick::Target]) {
         self.upstream(service).pick.set(Instant::now(), targets);
     }
 
-    /// What this entry knows of the targets of `service`.
+    /// The state of the targets of `service`; created on first use.
     pub fn upstream(&self, service: &Service) -> Arc<Upstream> {
         let mut upstreams = self.upstreams.lock();
         if let Some(upstream) = upstreams.get(service) {
@@ -97,7 +97,7 @@
         upstream
     }
 
-    /// Tells how many entries there are: each takes its part of the retries saved up.
+    /// Sets the number of entries. Each gets an equal share of the retries that may accumulate.
     pub fn set_members(&self, count: usize) {
         self.members.store(count.max(1), Ordering::Relaxed);
         let cap = self.retry_cap();
@@ -111,38 +111,38 @@
         (self.setting.retry.cap / members).max(1.0)
     }
 
-    /// The service that the next request of a route goes to.
-    pub(crate) fn deal(&self, rule: &str, route: &Route) -> Service {
+    /// Chooses the service that the next request of a route goes to, by the weights of the route.
+    pub(crate) fn choose_service(&self, rule: &str, route: &Route) -> Service {
         if route.split.len() < 2 {
             return route.service.clone();
         }
         let weights: Vec<u32> = route.split.iter().map(|part| part.weight).collect();
-        let mut wheels = self.wheels.lock();
-        if wheels.len() >= MOST_ROUTES {
-            wheels.clear();
+        let mut splits = self.splits.lock();
+        if splits.len() >= MAX_ROUTES {
+            splits.clear();
         }
-        let part = wheels.entry(rule.to_string()).or_default().turn(&weights);
+        let part = splits.entry(rule.to_string()).or_default().turn(&weights);
         route.split[part].service.clone()
     }
 
-    /// How long the caller of a request has waited already, when it says that it will wait for
-    /// `left`: one that asks again has less left than those who ask for the first time.
-    pub(crate) fn waited(&self, rule: &str, left: Duration) -> Duration {
-        let mut waits = self.waits.lock();
-        if waits.len() >= MOST_ROUTES {
-            waits.clear();
+    /// How long the caller of a request has waited already, given that it reports `left` as its time
+    /// left: a caller that retries has less time left than one on its first attempt.
+    pub(crate) fn time_waited(&self, rule: &str, left: Duration) -> Duration {
+        let mut timeouts = self.timeouts.lock();
+        if timeouts.len() >= MAX_ROUTES {
+            timeouts.clear();
         }
-        waits.entry(rule.to_string()).or_default().elapsed(left)
+        timeouts.entry(rule.to_string()).or_default().elapsed(left)
     }
 
-    /// Notes whether there is a link to `instance`.
+    /// Sets whether `instance` is cut off from this one, that is, has no working link.
     pub fn set_cut(&self, instance: &Instance, cut: bool) {
         for upstream in self.upstreams.lock().values() {
             upstream.pick.set_cut(instance, cut);
         }
     }
 
-    /// Takes in a report that a gate has sent of its own accord.
+    /// Records a load report that a gate has sent outside of an answer.
     pub fn receive_report(&self, instance: &Instance, report: Report) {
         let now = Instant::now();
         for upstream in self.upstreams.lock().values() {
@@ -150,20 +150,20 @@
         }
     }
 
-    /// The instances whose gates requests may go to.
+    /// The instances whose gates may receive requests.
     pub fn instances(&self) -> BTreeSet<Instance> {
         let upstreams = self.upstreams.lock();
         let all = upstreams.values().map(|upstream| upstream.pick.instances());
         all.flatten().collect()
     }
 
-    /// The services that were asked for so far.
+    /// The services that were requested or given targets so far.
     pub fn services(&self) -> Vec<Service> {
         self.upstreams.lock().keys().cloned().collect()
     }
 
-    /// Asks callers to close their connections, while requests are still taken: the caller has them
-    /// answered, and goes elsewhere with the next.
+    /// Asks callers to close their connections while requests are still accepted. Callers get the
+    /// answers of the requests under way and send the next one to another instance.
     pub fn close_connections(&self) {
         self.closing.store(true, Ordering::Release);
     }
@@ -173,7 +173,7 @@
         self.closing.load(Ordering::Acquire) || self.is_leaving()
     }
 
-    /// Refuses new requests as not run from now on.
+    /// Refuses new requests as not run from now on, except nested calls.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
     }
@@ -182,7 +182,7 @@
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Resolves once no request is under way.
+    /// Waits until no request is in flight.
     pub async fn idle(&self) {
         let mut open = self.open.subscribe();
         // The sender lives as long as this entry, so the wait can't fail.
@@ -196,19 +196,19 @@
         }
     }
 
-    /// The table that bounds each caller's requests under the rule `name`.
-    pub(crate) fn places(&self, name: &str, each: u32) -> limit::Table {
-        let mut places = self.places.lock();
-        if let Some(place) = places.get(name).filter(|place| place.each == each) {
-            return place.table.clone();
+    /// The table that limits each caller's concurrent requests under the rule `name`.
+    pub(crate) fn caller_limit(&self, name: &str, each: u32) -> limit::Table {
+        let mut caller_limits = self.caller_limits.lock();
+        if let Some(limit) = caller_limits.get(name).filter(|limit| limit.each == each) {
+            return limit.table.clone();
         }
         let table = limit::Table::new(limit::Setting {
             each,
             ..limit::Setting::default()
         });
-        places.insert(
+        caller_limits.insert(
             name.to_string(),
-            Place {
+            CallerLimit {
                 each,
                 table: table.clone(),
             },
@@ -220,12 +220,12 @@
         self.outcomes[outcome as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// What this entry measures.
+    /// The metrics of this entry.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// How many requests ended in which way.
+    /// Number of requests by outcome, and of those in flight.
     pub fn count(&self) -> Count {
         let read = |outcome: Outcome| self.outcomes[outcome as usize].load(Ordering::Relaxed);
         Count {
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the targets of one service.
+//! What an entry knows about the targets of one service.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 
 use crate::Builder;
 
-/// One service as seen from one entry: the choice among its targets, and its budgets.
+/// One service as seen by one entry: the choice among its targets, and the budgets.
 pub struct Upstream {
-    /// The choice of a target.
+    /// Chooses targets.
     pub pick: Shared,
     retry: Mutex<Budget>,
     hedge: Mutex<Delay>,
@@ -29,7 +29,7 @@
             choice,
             ..
         } = setting;
-        // Each entry draws its own numbers, or all entries would choose the same targets at once.
+        // Each entry has its own seed, or all entries would choose the same targets at the same time.
         let parts = [entry.as_str().as_bytes(), service.as_str().as_bytes()];
         let seed = unit::Digest::of_parts(&parts).0 as u64;
         let pick = Pick::builder(zone.clone())
@@ -44,32 +44,32 @@
         }
     }
 
-    /// Sets how many retries are saved up at most.
+    /// Sets how many unused retries may accumulate.
     pub(crate) fn set_retry_cap(&self, cap: f64) {
         self.retry.lock().set_cap(cap);
     }
 
-    /// Counts a first try.
-    pub(crate) fn first(&self, now: Instant) {
+    /// Counts the first attempt of a request, which earns a share of a retry.
+    pub(crate) fn count_request(&self, now: Instant) {
         self.retry.lock().first(now);
     }
 
-    /// Asks the budget for one more try.
-    pub(crate) fn ask(&self, now: Instant, allowance: &mut Allowance, cause: Cause) -> bool {
+    /// Asks the budget for one more attempt.
+    pub(crate) fn ask_budget(&self, now: Instant, allowance: &mut Allowance, cause: Cause) -> bool {
         self.retry.lock().ask(now, allowance, cause)
     }
 
-    /// Takes in how long an answer took.
+    /// Records the latency of an answer, from which the delay of hedges is computed.
     pub(crate) fn observe(&self, latency: Duration) {
         self.hedge.lock().observe(latency);
     }
 
-    /// When a second copy may be sent.
-    pub(crate) fn hedge_after(&self) -> Option<Duration> {
+    /// How long after the first attempt a hedge may be sent; `None` while too few latencies are known.
+    pub(crate) fn hedge_delay(&self) -> Option<Duration> {
         self.hedge.lock().after()
     }
 
-    /// Retries asked for and granted so far.
+    /// How many retries were requested and granted so far.
     pub fn retries(&self) -> retry::Count {
         self.retry.lock().count()
     }
