--- a/crates/nest/src/lib.rs
+++ b/crates/nest/src/lib.rs
@@ -1,12 +1,13 @@
-//! What the calls nested below a running call inherit from it.
+//! The context that nested calls inherit from the running call that makes them.
 //!
 //! While a call runs at the target, its daemon keeps the call's [`Context`] in a [`Table`] under
-//! the call's token, and gives the target the token in the [`HEADER`]. The target copies that one
-//! header onto the calls that it makes in turn over the outbound port, where the daemon looks the
-//! token up. We weighed writing the context itself into the header: a caller could then forge
-//! urgency and depth, and a target could spend one retry allowance several times. With the table
-//! a token is worth something only at the one daemon whose target runs that call, while it runs,
-//! and all nested calls share one allowance.
+//! the call's token, and passes the token to the target in the [`HEADER`]. The target copies this
+//! header to the calls that it makes over the outbound port, where the daemon looks up the token.
+//!
+//! The header does not carry the context itself, because a caller could then forge urgency and
+//! depth, and a target could spend one retry allowance several times. With the table, a token is
+//! valid only at the daemon whose target runs the call and only while the call runs, and all nested
+//! calls share one allowance.
 //!
 //! ```
 //! use nest::{Context, Table};
@@ -36,44 +37,45 @@
 use tokio::time::Instant;
 use unit::{Caller, Depth, Digest, Token, Urgency};
 
-/// The header that a target copies from the request it runs onto the calls that it makes.
+/// The header that a target copies from the request that it runs to the calls that it makes.
 ///
-/// On the callers' port it is dropped: what a caller from outside says in it counts for nothing.
+/// On the callers' port the header is ignored and removed, since outside callers have no running
+/// call.
 pub const HEADER: &str = "x-appleshore-call";
 
-const SHARDS: usize = 16;
+const SHARD_COUNT: usize = 16;
 
-/// What a nested call inherits.
+/// The properties that nested calls inherit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Context {
-    /// The urgency of the call above.
+    /// The urgency of the running call.
     pub urgency: Urgency,
-    /// The caller whose request began it all.
+    /// The caller of the outermost request.
     pub caller: Caller,
-    /// When the answer is due at the top.
+    /// The deadline of the outermost request.
     pub deadline: Instant,
-    /// How deep the call above is.
+    /// The nesting depth of the running call.
     pub depth: Depth,
-    /// Retries that the whole tree of calls below may still ask for.
+    /// Retries that may still be requested in the whole tree of nested calls.
     pub allowance: u8,
 }
 
-/// A running call as its nested calls see it. Clones share the allowance.
+/// A running call, as its nested calls see it. Clones share the allowance and the nested time.
 #[derive(Debug, Clone)]
 pub struct Parent {
     context: Arc<Context>,
     allowance_left: Arc<Mutex<u8>>,
-    /// Time that the run has spent on its calls.
+    /// Total duration of the nested calls so far.
     nested_time: Arc<Mutex<Duration>>,
 }
 
-/// The running calls of one daemon's target; clones share the table.
+/// The running calls of one daemon's target. Clones share the table.
 #[derive(Debug, Clone)]
 pub struct Table {
     shards: Arc<Vec<Mutex<HashMap<Token, Parent>>>>,
 }
 
-/// A running call; its token is worth nothing once this is dropped.
+/// Keeps a running call in the table; its token is invalid once this is dropped.
 #[derive(Debug)]
 #[must_use = "the context is gone when the guard is dropped"]
 pub struct Running {
@@ -84,7 +86,7 @@
 
 impl Default for Table {
     fn default() -> Table {
-        let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
+        let shards = (0..SHARD_COUNT).map(|_| Mutex::default()).collect();
         Table {
             shards: Arc::new(shards),
         }
@@ -92,7 +94,7 @@
 }
 
 impl Table {
-    /// Holds `context` under `token` until the guard is dropped.
+    /// Registers `context` under `token` until the guard is dropped.
     pub fn enter(&self, token: Token, context: Context) -> Running {
         let allowance_left = Arc::new(Mutex::new(context.allowance));
         let parent = Parent {
@@ -108,68 +110,68 @@
         }
     }
 
-    /// Holds `context` under the name that the request has with its caller, where its target makes
-    /// calls under names that show it.
+    /// Registers `context` under the name that the caller has given the request, for targets that
+    /// include this name in the names of their nested calls.
     pub fn enter_named(&self, name: &[u8], context: Context) -> Running {
-        self.enter(named(name), context)
+        self.enter(token_of(name), context)
     }
 
-    /// The running call of a request that has `name` with its caller.
+    /// The running call that the caller has named `name`.
     pub fn find_named(&self, name: &[u8]) -> Option<Parent> {
-        self.find(named(name))
+        self.find(token_of(name))
     }
 
-    /// The running call that `token` names.
+    /// The running call with `token`.
     pub fn find(&self, token: Token) -> Option<Parent> {
         self.shard(token).lock().get(&token).cloned()
     }
 
-    /// How many calls run.
+    /// The number of running calls.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.lock().len()).sum()
     }
 
-    /// No call runs.
+    /// Whether no call is running.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
     fn shard(&self, token: Token) -> &Mutex<HashMap<Token, Parent>> {
-        &self.shards[(token.0 % SHARDS as u128) as usize]
+        &self.shards[(token.0 % SHARD_COUNT as u128) as usize]
     }
 }
 
-/// A name as a token; 128 bits of a hash don't collide.
-fn named(name: &[u8]) -> Token {
+/// Derives a token from a name; a hash of 128 bits makes collisions negligible.
+fn token_of(name: &[u8]) -> Token {
     Token(Digest::of(name).0)
 }
 
 impl Parent {
-    /// What the nested calls inherit.
+    /// The context that nested calls inherit.
     pub fn context(&self) -> &Context {
         &self.context
     }
 
-    /// Reads and changes the allowance that all nested calls of this call share.
+    /// Calls `change` with the allowance that all nested calls of this call share.
     pub fn allowance<T>(&self, change: impl FnOnce(&mut u8) -> T) -> T {
         change(&mut self.allowance_left.lock())
     }
 }
 
 impl Parent {
-    /// Notes a call that the run has made.
+    /// Adds the duration of a finished nested call.
     pub fn add_nested_time(&self, time: Duration) {
         *self.nested_time.lock() += time;
     }
 }
 
 impl Running {
-    /// Time that the run has spent on its calls so far, added up.
+    /// Total duration of the nested calls so far.
     pub fn nested_time(&self) -> Duration {
         *self.parent.nested_time.lock()
     }
 
-    /// What is left of the allowance; it goes back with the answer.
+    /// The remaining allowance, which is returned with the answer.
     pub fn allowance_left(&self) -> u8 {
         *self.parent.allowance_left.lock()
     }
