--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -171,8 +171,8 @@
         Ok(Err(error)) => error.to_string(),
         Err(_) => format!("no byte for {:?}", streamed.guard.idle_timeout),
     };
-    // An error in the body ends the connection, so that the caller sees a truncated answer and can't
-    // take it for a shorter complete one.
+    // An error in the body ends the connection, so that the caller sees a truncated answer and
+    // can't take it for a shorter complete one.
     log::warn!("entry: answer truncated: {cause}.");
     Some((Err(io::Error::other(cause)), None))
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -178,8 +178,8 @@
     /// Determines the outcome after the link broke during the call. If the call may be repeated,
     /// the retry budget decides; otherwise the gate is asked about the token over a new link.
     async fn recover(&self, link: &Link, error: Error) -> AttemptOutcome {
-        // Only the life that received the call knows its outcome. A new life at the same address has
-        // never seen the token and would report it as unknown although the call may have run.
+        // Only the life that received the call knows its outcome. A new life at the same address
+        // has never seen the token and would report it as unknown although the call may have run.
         let peer = link.peer();
         if matches!(error, Error::Garbled(..)) {
             link.close();
--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -72,9 +72,9 @@
         let began = Instant::now();
         let ended = self.run_attempts(body).await;
         let stats = self.job.entry.stats();
-        stats.ended(began.elapsed(), self.handovers, self.sent);
+        stats.record_end(began.elapsed(), self.handovers, self.sent);
         if ended.is_err() && self.sent == 0 {
-            stats.refused(began.elapsed());
+            stats.record_refusal(began.elapsed());
         }
         let (status, reason) = match &ended {
             Ok(answer) => (answer.reply.status, "answered".to_string()),
@@ -120,7 +120,7 @@
         let guard = self.pick(&self.tried);
         let guard = guard.or_else(|| self.link_broke.then(|| self.pick(&[])).flatten())?;
         self.tried.push(guard.instance().clone());
-        self.job.entry.stats().chose(guard.basis());
+        self.job.entry.stats().record_choice(guard.basis());
         Some(guard)
     }
 
@@ -256,8 +256,9 @@
         time && left && self.job.budget.ask(&self.job.upstream, cause)
     }
 
-    /// Whether another target may have room, if `cause` is a lack of capacity. If all others are hot,
-    /// a retry would most likely be refused too and would add load where there is too much already.
+    /// Whether another target may have room, if `cause` is a lack of capacity. If all others are
+    /// hot, a retry would most likely be refused too and would add load where there is too much
+    /// already.
     fn has_room_elsewhere(&self, cause: wire::Cause) -> bool {
         let crowded = matches!(
             cause,
--- a/crates/entry/src/attempts/hedge.rs
+++ b/crates/entry/src/attempts/hedge.rs
@@ -38,8 +38,8 @@
             .run(guard, &mut second_body);
         tokio::pin!(second);
         self.sent += 1;
-        // The first usable answer wins. The other attempt is dropped, which cancels it at its gate. If
-        // one may have run without an answer, a refusal of the other doesn't make the request
+        // The first usable answer wins. The other attempt is dropped, which cancels it at its gate.
+        // If one may have run without an answer, a refusal of the other doesn't make the request
         // "not run".
         tokio::select! {
             outcome = &mut first => {
@@ -109,5 +109,8 @@
 }
 
 fn is_usable_answer(outcome: &AttemptOutcome) -> bool {
-    matches!(outcome, AttemptOutcome::Answer(answer) if !RETRYABLE_STATUSES.contains(&answer.reply.status))
+    matches!(
+        outcome,
+        AttemptOutcome::Answer(answer) if !RETRYABLE_STATUSES.contains(&answer.reply.status)
+    )
 }
--- a/crates/entry/src/builder.rs
+++ b/crates/entry/src/builder.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry, and the closures that tie it to the rest of the daemon.
+//! The settings of an entry, and the closures that connect it to the rest of the daemon.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,22 +11,22 @@
 
 use crate::{Claims, Entry};
 
-/// Gives the rules in force; `None` before the first have come.
+/// Returns the rules in force; `None` before the first ones have arrived.
 pub type Rules = Arc<dyn Fn() -> Option<Arc<Document>> + Send + Sync>;
 
-/// Tells where an instance listens and what certificate it shows.
+/// Returns the address and certificate of an instance; `None` if it is not known.
 pub type Peers = Arc<dyn Fn(&Instance) -> Option<Peer> + Send + Sync>;
 
-/// The bounds of an entry.
+/// The limits of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Most bytes of a request's body.
+    /// Largest size of a request's body.
     pub body: Size,
-    /// Most bytes of the body of a request that may not be repeated; it is held in memory.
+    /// Largest body of a request that may not be repeated; such a body is held in memory.
     pub once_body: Size,
-    /// Longest pause inside a body, either way.
+    /// Longest wait for the next chunk of a body, of requests and of answers.
     pub pause: Duration,
-    /// Deepest nesting.
+    /// Largest nesting depth of calls.
     pub depth: Depth,
 }
 
@@ -62,7 +62,8 @@
 }
 
 impl Entry {
-    /// An entry of `instance`, which dials with `dialer`. Without rules it refuses everything.
+    /// Returns a builder for the entry of `instance`, which connects to peers with `dialer`.
+    /// Without rules the entry refuses every request.
     pub fn builder(
         instance: Instance,
         zone: Zone,
@@ -90,77 +91,79 @@
 }
 
 impl Builder {
-    /// Where the rules in force come from.
+    /// Sets the source of the rules in force.
     pub fn rules(mut self, rules: Rules) -> Builder {
         self.rules = rules;
         self
     }
 
-    /// Where addresses and certificates of peers come from.
+    /// Sets the source of the addresses and certificates of peers.
     pub fn peers(mut self, peers: Peers) -> Builder {
         self.peers = peers;
         self
     }
 
-    /// The time one way to another zone; 0.5 ms unless set.
+    /// Sets the one-way network delay to another zone; 0.5 ms by default.
     pub fn network_delay(mut self, network_delay: Duration) -> Builder {
         self.network_delay = network_delay;
         self
     }
 
-    /// The bounds.
+    /// Sets the limits.
     pub fn limits(mut self, limits: Limits) -> Builder {
         self.limits = limits;
         self
     }
 
-    /// Where answers of requests that may not be repeated are kept.
+    /// Sets the table that holds the answers of requests that may not be repeated.
     pub fn held(mut self, held: held::Table) -> Builder {
         self.held = held;
         self
     }
 
-    /// The way to the ledger. Without one, requests that may not be repeated are refused.
+    /// Sets the functions that reach the ledger. Without them, requests that may not be repeated
+    /// are refused.
     pub fn claims(mut self, claims: Claims) -> Builder {
         self.claims = claims;
         self
     }
 
-    /// What headers of requests and answers are called.
+    /// Sets the names of the headers of requests and answers.
     pub fn dialect(mut self, dialect: Dialect) -> Builder {
         self.dialect = dialect;
         self
     }
 
-    /// The budget for tries behind the first, for each service.
+    /// Sets the retry budget of each service.
     pub fn retry(mut self, retry: retry::Setting) -> Builder {
         self.retry = retry;
         self
     }
 
-    /// How many gates may refuse one request before its caller is told; unless this is set, each
-    /// hand-over is paid for out of the retry budget.
-    pub fn max_handovers(mut self, most: u32) -> Builder {
-        self.max_handovers = Some(most);
+    /// Sets how many gates may refuse one request before its caller is answered. If it is not set,
+    /// each handover is charged to the retry budget.
+    pub fn max_handovers(mut self, max: u32) -> Builder {
+        self.max_handovers = Some(max);
         self
     }
 
-    /// How targets are chosen.
+    /// Sets how targets are chosen.
     pub fn choice(mut self, choice: pick::Setting) -> Builder {
         self.choice = choice;
         self
     }
 
-    /// How long a request waits for a link to its target before another one is asked; unless this is
-    /// set, until its deadline.
+    /// Sets how long a request waits for a link to its target before another target is chosen. If
+    /// it is not set, the request waits until its deadline.
     ///
-    /// Set it where links are kept in advance, so that a missing one means that nothing answers.
-    pub fn link_timeout(mut self, bound: Duration) -> Builder {
-        self.link_timeout = Some(bound);
+    /// This is meant for deployments that keep links open in advance, where a missing link means
+    /// that the instance does not respond.
+    pub fn link_timeout(mut self, timeout: Duration) -> Builder {
+        self.link_timeout = Some(timeout);
         self
     }
 
-    /// The entry.
+    /// Builds the entry.
     pub fn build(self) -> Entry {
         Entry::new(self)
     }
--- a/crates/entry/src/connection.rs
+++ b/crates/entry/src/connection.rs
@@ -1,10 +1,10 @@
 //! One caller's connection: pipelined requests are served concurrently and answered in order.
 //!
-//! Callers pipeline requests. A server that starts the second request only after it has answered the
-//! first delays it by a full service time, and one that does not read while it serves can't detect
-//! that its caller has disconnected, so the target would keep working on an answer that nobody
-//! reads. Therefore the connection is always read, each request is served as soon as its head has
-//! arrived, and the requests in flight are dropped when the caller disconnects.
+//! Callers pipeline requests. A server that starts the second request only after it has answered
+//! the first delays it by a full service time, and one that does not read while it serves can't
+//! detect that its caller has disconnected, so the target would keep working on an answer that
+//! nobody reads. Therefore the connection is always read, each request is served as soon as its
+//! head has arrived, and the requests in flight are dropped when the caller disconnects.
 
 use std::collections::VecDeque;
 use std::io;
@@ -63,8 +63,8 @@
     closing: bool,
     /// When the current head began to arrive, or the connection became idle.
     timer_start: Instant,
-    /// The idle timeout in force when the connection became idle. A lower setting takes effect later,
-    /// since the caller relies on the timeout that it knows.
+    /// The idle timeout in force when the connection became idle. A lower setting takes effect
+    /// later, since the caller relies on the timeout that it knows.
     idle_timeout: Duration,
 }
 
@@ -374,8 +374,8 @@
 
     /// Writes a chunk of the body of the current answer.
     ///
-    /// An error in the body ends the connection, so that the caller sees a truncated answer and can't
-    /// take it for a shorter complete one.
+    /// An error in the body ends the connection, so that the caller sees a truncated answer and
+    /// can't take it for a shorter complete one.
     fn write_piece(&mut self, piece: Option<io::Result<Frame<Bytes>>>) -> io::Result<()> {
         let Some(writing) = &self.writing else {
             return Ok(());
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -60,8 +60,8 @@
         let mut response = answered.unwrap_or_else(|refusal| self.refuse(&parts, refusal));
         self.count_outcome(answer::outcome(&response));
         if self.is_closing() {
-            // Otherwise the next request on a kept-alive connection could cross with the close of the
-            // connection, and its caller could not tell whether it ran.
+            // Otherwise the next request on a kept-alive connection could cross with the close of
+            // the connection, and its caller could not tell whether it ran.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
@@ -298,8 +298,8 @@
     /// Computes the deadline of the request: the earliest of the rule's timeout, the time that the
     /// caller reports as left, and the deadline of the enclosing call.
     ///
-    /// The latency goal counts from the caller's first attempt. A nested call has no goal: if it were
-    /// given up for being late, the run that waits for it would be wasted.
+    /// The latency goal counts from the caller's first attempt. A nested call has no goal: if it
+    /// were given up for being late, the run that waits for it would be wasted.
     fn timing(
         &self,
         rule: &str,
--- a/crates/entry/src/initial_timeout.rs
+++ b/crates/entry/src/initial_timeout.rs
@@ -1,29 +1,31 @@
-//! What first tries of a route's callers say they will wait, learnt from what all say.
+//! Estimates the timeout with which the callers of a route start, from the times left that all
+//! report.
 
 use std::time::Duration;
 
-/// Callers that are remembered; a third of them must agree, so that some seconds of a load made of
-/// second tries for the most part don't pass for first ones.
-const RECENT: usize = 256;
-/// Fewest callers from which anything is told.
-const LEAST: usize = 16;
-/// After so many callers the common range is looked for again.
-const AGAIN: usize = 32;
-/// The share of the callers in the common range: one in so many.
-const SHARE: usize = 3;
+/// Number of recent times that are kept. A third of them must lie close together, so this many are
+/// needed to outlast some seconds in which most requests are retries.
+const MAX_RECENT: usize = 256;
+/// Number of times from which on an estimate is made.
+const MIN_RECENT: usize = 16;
+/// Number of requests between two updates of the estimate.
+const UPDATE_INTERVAL: usize = 32;
+/// The common range holds one in this many of the recent times.
+const COMMON_DIVISOR: usize = 3;
 
-/// Tells callers that ask again from those that ask for the first time.
+/// Distinguishes retries of callers from first attempts.
 ///
-/// Each caller says how long it will still wait. One that was refused and comes back has less left
-/// than it had, but what it had is not told, and callers differ: some fleets of callers all begin with
-/// the same time, others with times that differ by an eighth. Compared with the longest that anybody
-/// said, nine in ten first tries of the latter looked like second ones, by a third of their goal on
-/// average; gates refused what they could have served, and served as late what was in time.
+/// Each caller reports the time that it has left. A caller that was refused and retries has less
+/// left than it started with, but it does not report its initial timeout, and callers differ: in
+/// some fleets all start with the same timeout, in others the timeouts differ by an eighth.
+/// Measured against the longest reported time, nine in ten first attempts of the latter would be
+/// taken for retries, on average by a third of their latency goal. Gates would then refuse requests
+/// that they could serve, and treat requests that are in time as late.
 ///
-/// So the shortest range that holds a third of the recent callers is taken for what is usual, widened
-/// downwards by as much as makes it hold all first tries where these are spread evenly. Who has less
-/// left than that has waited for the difference, at least. Second tries are spread far more widely
-/// than first ones, and move the range only when they are two thirds of all.
+/// So the estimate is the shortest range that holds a third of the recent times, extended downwards
+/// until it would hold all first attempts if these were spread evenly. A caller with less time left
+/// has waited for at least the difference. The times of retries are spread far more widely than
+/// those of first attempts, and shift the range only if they make up two thirds of all requests.
 ///
 /// ```
 /// use std::time::Duration;
@@ -39,46 +41,46 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct InitialTimeout {
-    /// The last callers in the order of a ring.
+    /// Ring buffer of the recent times.
     recent: Vec<Duration>,
     next: usize,
-    /// The least that a first try is likely to say, once it is known.
-    usual: Option<Duration>,
+    /// The shortest time that a first attempt is likely to report, once it can be estimated.
+    lower_bound: Option<Duration>,
 }
 
 impl InitialTimeout {
-    /// How long a caller has waited already that will wait for `left` more; zero while too little is
-    /// known.
+    /// Records the time `left` that a caller reports, and returns how long the caller has waited
+    /// already; zero until enough times are known.
     pub fn elapsed(&mut self, left: Duration) -> Duration {
-        self.note(left);
-        let usual = self.usual.unwrap_or_default();
-        usual.saturating_sub(left)
+        self.record(left);
+        let lower_bound = self.lower_bound.unwrap_or_default();
+        lower_bound.saturating_sub(left)
     }
 
-    fn note(&mut self, left: Duration) {
-        if self.recent.len() < RECENT {
+    fn record(&mut self, left: Duration) {
+        if self.recent.len() < MAX_RECENT {
             self.recent.push(left);
         } else {
-            self.recent[self.next % RECENT] = left;
+            self.recent[self.next % MAX_RECENT] = left;
         }
         self.next += 1;
-        let is_due = self.usual.is_none() || self.next.is_multiple_of(AGAIN);
-        if is_due && self.recent.len() >= LEAST {
-            self.usual = usual(&self.recent);
+        let is_due = self.lower_bound.is_none() || self.next.is_multiple_of(UPDATE_INTERVAL);
+        if is_due && self.recent.len() >= MIN_RECENT {
+            self.lower_bound = estimate_lower_bound(&self.recent);
         }
     }
 }
 
-/// The lower end of the common range of `recent`, widened.
-fn usual(recent: &[Duration]) -> Option<Duration> {
+/// The lower end of the common range of `recent`, extended downwards.
+fn estimate_lower_bound(recent: &[Duration]) -> Option<Duration> {
     let mut sorted = recent.to_vec();
     sorted.sort_unstable();
-    let held = sorted.len().div_ceil(SHARE);
-    let ranges = sorted.windows(held);
+    let count = sorted.len().div_ceil(COMMON_DIVISOR);
+    let ranges = sorted.windows(count);
     let ends = ranges.filter_map(|range| Some((*range.first()?, *range.last()?)));
-    // Of ranges that are equally short the longest times are those of first tries.
+    // Of equally short ranges, the one with the longest times belongs to first attempts.
     let (least, most) =
         ends.min_by_key(|(least, most)| (*most - *least, std::cmp::Reverse(*least)))?;
     let width = most - least;
-    Some(least.saturating_sub(width * (SHARE as u32 - 1)))
+    Some(least.saturating_sub(width * (COMMON_DIVISOR as u32 - 1)))
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,11 +1,14 @@
-//! The role that serves callers: match, claim, choose, relay, answer.
+//! The part of the daemon that serves callers.
 //!
-//! A request comes in by HTTP on one of two ports. On the callers' port it begins with nothing but
-//! what the rules make of it; on the outbound port, where only this instance's own target calls, a
-//! nested call inherits urgency, caller, deadline and depth from the call that it serves. The
-//! first rule that matches names the service; [`pick`] names the target; the daemon beside it
-//! decides whether the request runs. Every answer says in the [`OUTCOME`] header what became of
-//! the request.
+//! An entry matches each request to a rule, claims its key if it may not be repeated, chooses a
+//! target, forwards the request, and relays the answer.
+//!
+//! A request arrives by HTTP on one of two ports. On the callers' port the rules alone determine
+//! how it is handled. On the outbound port, which only this instance's own target uses, a nested
+//! call inherits urgency, caller, deadline and depth from the call that it belongs to. The first
+//! matching rule determines the service, [`pick`] chooses the target, and the gate of the target's
+//! daemon decides whether the request runs. The [`OUTCOME`] header of every answer gives the
+//! outcome of the request.
 //!
 //! ```
 //! use entry::{Reason, Refusal};
@@ -45,5 +48,5 @@
 pub use stats::Stats;
 pub use upstream::Upstream;
 
-/// The body of requests and answers, as gotham has it.
+/// The body of requests and answers: gotham's body type.
 pub type Body = gotham::helpers::http::Body;
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -25,8 +25,8 @@
 /// Longest delay between two claims of a key whose run is unconfirmed; the delays double up to it.
 const MAX_CLAIM_RETRY_DELAY: Duration = Duration::from_millis(160);
 
-/// How long after its claim was first seen a run may remain unconfirmed before it counts as lost. An
-/// entry that does not learn of its grant within 1.5 s gives up the claim.
+/// How long after its claim was first seen a run may remain unconfirmed before it counts as lost.
+/// An entry that does not learn of its grant within 1.5 s gives up the claim.
 const MAX_START_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Why a key could not be claimed. The request has not run.
@@ -73,8 +73,8 @@
     }
 }
 
-/// The key under which a request of `caller` to `service` is claimed. Equal keys of different callers
-/// or for different services are independent.
+/// The key under which a request of `caller` to `service` is claimed. Equal keys of different
+/// callers or for different services are independent.
 pub fn claim_key(caller: &Caller, service: &Service, key: &str) -> Digest {
     let parts = [
         caller.as_str().as_bytes(),
@@ -103,8 +103,8 @@
 }
 
 impl Unconfirmed {
-    /// Returns the state of `token`, in place of that of another token. The time is counted from the
-    /// first claim that found the run unconfirmed.
+    /// Returns the state of `token`, in place of that of another token. The time is counted from
+    /// the first claim that found the run unconfirmed.
     fn of(token: Token, unconfirmed: &mut Option<Unconfirmed>) -> &Unconfirmed {
         if unconfirmed
             .as_ref()
@@ -270,8 +270,8 @@
         Refusal::unknown(Reason::Lost).detail(cause)
     }
 
-    /// Fetches an answer after its link broke partway. The gate reads the answer to its end and holds
-    /// it, so it can be requested by the token of the attempt.
+    /// Fetches an answer after its link broke partway. The gate reads the answer to its end and
+    /// holds it, so it can be requested by the token of the attempt.
     async fn fetch_held_answer(&self, reply: &Reply, gate: &Instance) -> Option<held::Answer> {
         let until = self.job.deadline.max(Instant::now() + MIN_ASK_TIMEOUT);
         let peer = (self.entry().setting.peers)(gate)?;
@@ -314,8 +314,8 @@
     ///
     /// If the entry of that run does not know it or can't be asked, this does not yet show that the
     /// run is lost. A claim is recorded shortly before its entry receives the grant, the claim of a
-    /// request that was refused as not run stays recorded until its release is written, and links to
-    /// daemons that have just started may fail. A request that is resent in that time would be
+    /// request that was refused as not run stays recorded until its release is written, and links
+    /// to daemons that have just started may fail. A request that is resent in that time would be
     /// answered as lost although the first one is running or the key is free. So the key is claimed
     /// again for up to [`MAX_START_DELAY`].
     async fn wait_for_running(
--- a/crates/entry/src/origin.rs
+++ b/crates/entry/src/origin.rs
@@ -1,14 +1,15 @@
-//! Where a request comes from.
+//! The origin of a request.
 
 use std::net::IpAddr;
 
 use nest::Parent;
 
-/// Where a request comes from.
+/// The port that a request arrived on, and its sender.
 #[derive(Debug, Clone)]
 pub enum Origin {
-    /// A caller on the callers' port, with its address.
+    /// A caller on the callers' port, by its IP address.
     Outside(IpAddr),
-    /// This instance's own target on the outbound port, with the running call that it named.
+    /// This instance's own target, with the running call that the request belongs to; `None` if it
+    /// names no running call.
     Nested(Option<Parent>),
 }
--- a/crates/entry/src/port.rs
+++ b/crates/entry/src/port.rs
@@ -1,4 +1,4 @@
-//! An address where callers are served, with requests of one connection side by side.
+//! A listening address for callers, where requests of one connection are served concurrently.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,34 +19,34 @@
 pub type Handler =
     Arc<dyn Fn(SocketAddr, Request<Body>) -> BoxFuture<'static, Response<Body>> + Send + Sync>;
 
-/// The bounds on callers of one address, as they are in force now.
+/// The limits on connections of one listening address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Most bytes of a request's head.
+    /// Largest size of a request's head.
     pub head: Size,
-    /// Longest time that a head may take to come, from its first byte.
+    /// Longest time that a head may take to arrive, from its first byte.
     pub head_timeout: Duration,
-    /// Longest time that a connection may lie idle.
+    /// Longest time that a connection may be idle.
     pub idle: Duration,
-    /// Connections at once; one more is closed at once.
+    /// Most concurrent connections. Any further one is closed immediately.
     pub connections: u32,
 }
 
-/// What a port needs to serve callers.
+/// A listening address and the handler of its requests.
 #[derive(Clone)]
 pub struct Port {
-    /// Answers requests. The future is dropped when the caller has gone.
+    /// Answers requests. The future is dropped when the caller disconnects.
     pub handler: Handler,
-    /// Tells the bounds in force.
+    /// Returns the limits currently in force.
     pub bounds: Arc<dyn Fn() -> Bounds + Send + Sync>,
-    /// Once cancelled, connections are closed behind the answers that are under way.
+    /// Once cancelled, each connection is closed after its requests in flight are answered.
     pub stop: CancellationToken,
 }
 
 impl Port {
     /// Serves the connections of `listener` until the port is stopped and all of them have ended.
     pub async fn serve(self, listener: TcpListener) {
-        let room = Arc::new(Semaphore::new((self.bounds)().connections as usize));
+        let permits = Arc::new(Semaphore::new((self.bounds)().connections as usize));
         let connections = TaskTracker::new();
         loop {
             let accepted = tokio::select! {
@@ -56,12 +56,12 @@
             let (stream, peer) = match accepted {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    server::refused(&error).await;
+                    server::pause_after_accept_error(&error).await;
                     continue;
                 }
             };
-            let Ok(place) = room.clone().try_acquire_owned() else {
-                log::warn!("entry: {peer} is one connection too many.");
+            let Ok(permit) = permits.clone().try_acquire_owned() else {
+                log::warn!("entry: connection limit reached; connection of {peer} closed.");
                 continue;
             };
             let port = self.clone();
@@ -69,7 +69,7 @@
                 if let Err(error) = Connection::new(port, peer).serve(stream).await {
                     log::debug!("entry: connection of {peer} ended: {error}.");
                 }
-                drop(place);
+                drop(permit);
             });
         }
         drop(listener);
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -214,7 +214,8 @@
     }
 }
 
-/// `Retry-After` in HTTP is an integer of seconds; rounding up keeps callers from retrying too early.
+/// `Retry-After` in HTTP is an integer of seconds; rounding up keeps callers from retrying too
+/// early.
 fn round_up_to_seconds(after: Duration) -> u64 {
     after.as_secs() + u64::from(after.subsec_nanos() > 0)
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,7 +1,7 @@
-//! An accept loop for HTTP that stops gracefully, around a gotham handler.
+//! An HTTP server with graceful shutdown, around a gotham handler.
 //!
-//! gotham's own server never returns. So we accept, and let gotham's handler answer under
-//! hyper-util's graceful shutdown.
+//! gotham's own server never returns. This one accepts the connections itself and calls gotham's
+//! handler under hyper-util's graceful shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,15 +26,15 @@
 use crate::answer::OUTCOME;
 use crate::{Body, Reason, Refusal};
 
-/// The bounds of one listening address.
+/// The limits of one listening address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bound {
-    /// Most bytes of a request's head.
+    /// Largest size of a request's head.
     pub head: Size,
-    /// Longest time that a head may take to come, counted anew for each request of a connection;
-    /// so an idle connection is closed after it as well.
+    /// Longest time that a head may take to arrive. The time starts anew for each request of a
+    /// connection, so an idle connection is closed after this time as well.
     pub head_timeout: Duration,
-    /// Most connections at once; one more is closed at once.
+    /// Most concurrent connections. Any further one is closed immediately.
     pub connections: u32,
 }
 
@@ -48,25 +48,25 @@
     }
 }
 
-/// What hyper may buffer beyond the longest head. hyper's own bound is that of its buffer and not
-/// strict, and its answer says no outcome; so we check the head ourselves, and hyper's bound stands
-/// behind ours for heads without end. hyper needs at least 8 KB.
-const BEYOND_HEAD: usize = 64 << 10;
+/// Size of hyper's buffer beyond the largest head. hyper limits only its buffer, not strictly the
+/// head, and its own answer has no outcome header. So the head is checked here, and hyper's limit
+/// only stops heads that never end. hyper needs a buffer of at least 8 KB.
+const EXTRA_BUFFER_BYTES: usize = 64 << 10;
 
-/// Bytes of a head beside its names and values: `": "` and the end of the line.
-const LINE: usize = 4;
+/// Bytes of a head line besides its name and value: `": "` and the line end.
+const LINE_OVERHEAD_BYTES: usize = 4;
 
-/// Pause after a failed accept, which mostly means that file descriptors have run out.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, which usually means that the file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves `handler` on `listener` until `stop`, then until the requests under way have ended.
+/// Serves `handler` on `listener` until `stop` is cancelled and the requests in flight have ended.
 pub async fn serve<H>(listener: TcpListener, handler: H, bound: Bound, stop: CancellationToken)
 where
     H: NewHandler + 'static,
 {
     let handler = Arc::new(handler);
     let graceful = GracefulShutdown::new();
-    let room = Arc::new(Semaphore::new(bound.connections as usize));
+    let permits = Arc::new(Semaphore::new(bound.connections as usize));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -74,12 +74,12 @@
         };
         match accepted {
             Ok((stream, peer)) => {
-                if let Ok(place) = room.clone().try_acquire_owned() {
+                if let Ok(permit) = permits.clone().try_acquire_owned() {
                     connect(
                         Connection {
                             stream,
                             peer,
-                            place,
+                            permit,
                         },
                         &handler,
                         bound,
@@ -87,7 +87,7 @@
                     );
                 }
             }
-            Err(error) => refused(&error).await,
+            Err(error) => pause_after_accept_error(&error).await,
         }
     }
     drop(listener);
@@ -97,13 +97,13 @@
 struct Connection {
     stream: TcpStream,
     peer: SocketAddr,
-    place: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 }
 
-/// Says that no connection could be accepted, and waits before the next one is.
-pub(crate) async fn refused(error: &io::Error) {
-    log::warn!("entry: no connection accepted: {error}.");
-    tokio::time::sleep(ACCEPT_AGAIN).await;
+/// Logs a failed accept, and waits before the next one.
+pub(crate) async fn pause_after_accept_error(error: &io::Error) {
+    log::warn!("entry: accept failed: {error}.");
+    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
 }
 
 fn connect<H>(connection: Connection, handler: &Arc<H>, bound: Bound, graceful: &GracefulShutdown)
@@ -113,7 +113,7 @@
     let Connection {
         stream,
         peer,
-        place,
+        permit,
     } = connection;
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("entry: connection of {peer}: {error}.");
@@ -123,13 +123,13 @@
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new());
     builder.header_read_timeout(bound.head_timeout);
-    builder.max_buf_size(bound.head.bytes() as usize + BEYOND_HEAD);
+    builder.max_buf_size(bound.head.bytes() as usize + EXTRA_BUFFER_BYTES);
     let served = graceful.watch(builder.serve_connection(TokioIo::new(stream), service));
     tokio::spawn(async move {
         if let Err(error) = served.await {
             log::debug!("entry: connection of {peer} ended: {error}.");
         }
-        drop(place);
+        drop(permit);
     });
 }
 
@@ -142,7 +142,7 @@
 where
     H: NewHandler + 'static,
 {
-    if size(&request) > head {
+    if head_size(&request) > head {
         let refusal = Refusal::not_run(Reason::TooLarge)
             .status(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)
             .detail(format!("the head is larger than {head}"));
@@ -154,16 +154,17 @@
     Ok(with_outcome(answer))
 }
 
-fn size(request: &Request<Incoming>) -> Size {
-    let first = request.method().as_str().len() + request.uri().path().len() + LINE;
+fn head_size(request: &Request<Incoming>) -> Size {
+    let first = request.method().as_str().len() + request.uri().path().len() + LINE_OVERHEAD_BYTES;
     let query = request.uri().query().map_or(0, str::len);
     let headers = request.headers().iter();
-    let lines = headers.map(|(name, value)| name.as_str().len() + value.len() + LINE);
+    let lines =
+        headers.map(|(name, value)| name.as_str().len() + value.len() + LINE_OVERHEAD_BYTES);
     Size::of((first + query + lines.sum::<usize>()) as u64)
 }
 
-/// The router answers what it has no route for by a bare status, and a handler's panic as well.
-/// A caller must still be told what became of its request.
+/// Adds a body and the outcome header to an answer that lacks them. The router answers unknown
+/// routes and a handler's panic with a bare status, but callers need the outcome of every request.
 fn with_outcome(answer: Response<Body>) -> Response<Body> {
     let status = answer.status();
     let bare = answer.body().is_end_stream() && !answer.headers().contains_key(OUTCOME);
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -15,11 +15,11 @@
 
 use crate::{Builder, InitialTimeout, Stats, Upstream};
 
-/// Largest number of routes with per-route state. Beyond it, as after many changes of the rules, the
-/// state of all routes is discarded and built up again.
+/// Largest number of routes with per-route state. Beyond it, as after many changes of the rules,
+/// the state of all routes is discarded and built up again.
 const MAX_ROUTES: usize = 4_096;
 
-/// Serves the requests that come to one instance.
+/// Serves the requests that arrive at one instance.
 pub struct Entry {
     pub(crate) setting: Builder,
     upstreams: Mutex<BTreeMap<Service, Arc<Upstream>>>,
@@ -125,8 +125,8 @@
         route.split[part].service.clone()
     }
 
-    /// How long the caller of a request has waited already, given that it reports `left` as its time
-    /// left: a caller that retries has less time left than one on its first attempt.
+    /// How long the caller of a request has waited already, given that it reports `left` as its
+    /// time left: a caller that retries has less time left than one on its first attempt.
     pub(crate) fn time_waited(&self, rule: &str, left: Duration) -> Duration {
         let mut timeouts = self.timeouts.lock();
         if timeouts.len() >= MAX_ROUTES {
@@ -163,7 +163,7 @@
     }
 
     /// Asks callers to close their connections while requests are still accepted. Callers get the
-    /// answers of the requests under way and send the next one to another instance.
+    /// answers of the requests in flight and send the next one to another instance.
     pub fn close_connections(&self) {
         self.closing.store(true, Ordering::Release);
     }
--- a/crates/entry/src/stats.rs
+++ b/crates/entry/src/stats.rs
@@ -1,4 +1,4 @@
-//! What an entry measures for its operators.
+//! Metrics of an entry.
 
 use std::time::Duration;
 
@@ -6,38 +6,39 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 
-/// Times from a millisecond to 8 s, doubled from bucket to bucket.
-pub(crate) fn times() -> Histogram {
+/// A histogram in seconds, with buckets from 1 ms to 8 s that double.
+pub(crate) fn duration_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 14))
 }
 
-/// Histograms and counters of one entry; clones share them.
+/// Histograms and counters of one entry. Clones share them.
 #[derive(Debug, Clone)]
 pub struct Stats {
-    /// Seconds from a request's head to that of its answer, for requests that were sent to a gate.
+    /// Seconds from the head of a request to the head of its answer or its refusal, for requests
+    /// that are forwarded.
     pub duration: Histogram,
-    /// Seconds from a request's head to its refusal, for requests that reached no target.
+    /// Seconds from the head of a request to its refusal, for requests that reached no target.
     pub refusal_duration: Histogram,
-    /// Age in seconds of the report by which a target was chosen.
+    /// Age in seconds of the load report by which a target was chosen.
     pub report_age: Histogram,
-    /// Targets chosen without any report.
+    /// Targets chosen without a load report.
     pub choices_without_report: Counter,
-    /// Targets chosen though they had told that work takes much longer than usual.
+    /// Targets chosen although their load report showed a slowdown.
     pub choices_of_slow: Counter,
-    /// Requests of which several gates were asked.
+    /// Requests that were handed over to another gate.
     pub handed_over: Counter,
     /// Requests that were sent to more than one target.
     pub retried: Counter,
-    /// Requests of which a copy was sent while the first try was under way.
+    /// Requests that were hedged: a copy was sent while the first attempt was in progress.
     pub hedged: Counter,
 }
 
 impl Default for Stats {
     fn default() -> Stats {
         Stats {
-            duration: times(),
-            refusal_duration: times(),
-            report_age: times(),
+            duration: duration_histogram(),
+            refusal_duration: duration_histogram(),
+            report_age: duration_histogram(),
             choices_without_report: Counter::default(),
             choices_of_slow: Counter::default(),
             handed_over: Counter::default(),
@@ -48,7 +49,7 @@
 }
 
 impl Stats {
-    pub(crate) fn chose(&self, basis: Basis) {
+    pub(crate) fn record_choice(&self, basis: Basis) {
         match basis.age {
             Some(age) => self.report_age.observe(age.as_secs_f64()),
             None => drop(self.choices_without_report.inc()),
@@ -58,9 +59,9 @@
         }
     }
 
-    pub(crate) fn ended(&self, took: Duration, handed: u32, sent: u32) {
-        self.duration.observe(took.as_secs_f64());
-        if handed > 0 {
+    pub(crate) fn record_end(&self, duration: Duration, handovers: u32, sent: u32) {
+        self.duration.observe(duration.as_secs_f64());
+        if handovers > 0 {
             self.handed_over.inc();
         }
         if sent > 1 {
@@ -68,7 +69,7 @@
         }
     }
 
-    pub(crate) fn refused(&self, took: Duration) {
-        self.refusal_duration.observe(took.as_secs_f64());
+    pub(crate) fn record_refusal(&self, duration: Duration) {
+        self.refusal_duration.observe(duration.as_secs_f64());
     }
 }
--- a/crates/entry/src/upstream.rs
+++ b/crates/entry/src/upstream.rs
@@ -29,7 +29,8 @@
             choice,
             ..
         } = setting;
-        // Each entry has its own seed, or all entries would choose the same targets at the same time.
+        // Each entry has its own seed, or all entries would choose the same targets at the same
+        // time.
         let parts = [entry.as_str().as_bytes(), service.as_str().as_bytes()];
         let seed = unit::Digest::of_parts(&parts).0 as u64;
         let pick = Pick::builder(zone.clone())
@@ -64,7 +65,8 @@
         self.hedge.lock().observe(latency);
     }
 
-    /// How long after the first attempt a hedge may be sent; `None` while too few latencies are known.
+    /// How long after the first attempt a hedge may be sent; `None` while too few latencies are
+    /// known.
     pub(crate) fn hedge_delay(&self) -> Option<Duration> {
         self.hedge.lock().after()
     }
