--- a/crates/entry/src/initial_timeout.rs
+++ b/crates/entry/src/initial_timeout.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-/// Number of recent times that are kept. A third of them must lie close together, so this many are
-/// needed to outlast some seconds in which most requests are retries.
+/// Number of recent times that are kept. A third of them must lie close together, so that the times
+/// of retries do not pass for those of first attempts in some seconds of mostly retries.
 const MAX_RECENT: usize = 256;
 /// Number of times from which on an estimate is made.
 const MIN_RECENT: usize = 16;
