--- a/crates/appleshore/src/assembly.rs
+++ b/crates/appleshore/src/assembly.rs
@@ -112,7 +112,7 @@
 pub(crate) fn entry(setting: &Setting, ways: &Ways<'_>, held: held::Table) -> Entry {
     let limits = Limits {
         body: setting.limits.body,
-        pause: setting.limits.idle.0,
+        idle_timeout: setting.limits.idle.0,
         depth: Depth(setting.limits.depth),
         ..Limits::default()
     };
--- a/crates/appleshore/src/daemon.rs
+++ b/crates/appleshore/src/daemon.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use entry::Bounds;
-use entry::server::{self, Bound};
+use entry::ConnectionLimits;
+use entry::server::{self, Limits};
 use feed::Current;
 use gotham::router::Router;
 use nest::Table;
@@ -173,7 +173,7 @@
     fn serve(&mut self, ports: Ports, nests: Table) {
         let state = &self.state;
         let limits = &state.setting.limits;
-        let bound = Bound {
+        let bound = Limits {
             head: limits.head,
             head_timeout: limits.head_timeout.0,
             connections: limits.connections,
@@ -192,27 +192,27 @@
                 self.ports.spawn(port.serve(ports.outbound));
             }
         }
-        self.port(ports.operator, operator, Bound::default());
+        self.port(ports.operator, operator, Limits::default());
     }
 
     /// The bounds on callers: those of the rules in force, or else of the settings.
-    fn bounds(&self) -> impl Fn() -> Bounds + Send + Sync + 'static {
+    fn bounds(&self) -> impl Fn() -> ConnectionLimits + Send + Sync + 'static {
         let limits = self.state.setting.limits.clone();
         let current = self.state.current.clone();
         move || {
             let rules = current.get();
             let said = rules.map(|rules| *rules.document.bounds());
             let said = said.unwrap_or_default();
-            Bounds {
+            ConnectionLimits {
                 head: said.head.unwrap_or(limits.head),
                 head_timeout: said.head_timeout.unwrap_or(limits.head_timeout.0),
-                idle: said.idle.unwrap_or(limits.idle.0),
+                idle_timeout: said.idle.unwrap_or(limits.idle.0),
                 connections: limits.connections,
             }
         }
     }
 
-    fn port(&mut self, listener: TcpListener, router: Router, bound: Bound) {
+    fn port(&mut self, listener: TcpListener, router: Router, bound: Limits) {
         self.ports
             .spawn(server::serve(listener, router, bound, self.close.clone()));
     }
--- a/crates/appleshore/src/port.rs
+++ b/crates/appleshore/src/port.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use dialect::Dialect;
-use entry::{Body, Bounds, Entry, Origin, Port};
+use entry::{Body, ConnectionLimits, Entry, Origin, Port};
 use futures_util::FutureExt;
 use gotham::handler::HandlerFuture;
 use gotham::router::Router;
@@ -23,7 +23,7 @@
     entry: Arc<Entry>,
     nests: Table,
     dialect: Dialect,
-    bounds: impl Fn() -> Bounds + Send + Sync + 'static,
+    limits: impl Fn() -> ConnectionLimits + Send + Sync + 'static,
     stop: CancellationToken,
 ) -> Port {
     let handler = move |peer: SocketAddr, request: Request<Body>| {
@@ -46,7 +46,7 @@
     };
     Port {
         handler: Arc::new(handler),
-        bounds: Arc::new(bounds),
+        limits: Arc::new(limits),
         stop,
     }
 }
--- a/crates/entry/src/builder.rs
+++ b/crates/entry/src/builder.rs
@@ -25,7 +25,7 @@
     /// Largest body of a request that may not be repeated; such a body is held in memory.
     pub once_body: Size,
     /// Longest wait for the next chunk of a body, of requests and of answers.
-    pub pause: Duration,
+    pub idle_timeout: Duration,
     /// Largest nesting depth of calls.
     pub depth: Depth,
 }
@@ -35,7 +35,7 @@
         Limits {
             body: Size::of(64_000_000),
             once_body: Size::of(1_000_000),
-            pause: Duration::from_secs(60),
+            idle_timeout: Duration::from_secs(60),
             depth: Depth(9),
         }
     }
--- a/crates/entry/src/connection.rs
+++ b/crates/entry/src/connection.rs
@@ -100,7 +100,7 @@
 
 impl Connection {
     pub(crate) fn new(port: Port, peer: SocketAddr) -> Connection {
-        let idle_timeout = (port.bounds)().idle;
+        let idle_timeout = (port.limits)().idle_timeout;
         Connection {
             port,
             peer,
@@ -196,11 +196,11 @@
         if self.upload.is_some() || self.reads_done {
             return None;
         }
-        let bounds = (self.port.bounds)();
+        let limits = (self.port.limits)();
         if !self.input.is_empty() {
-            return Some(self.timer_start + bounds.head_timeout);
+            return Some(self.timer_start + limits.head_timeout);
         }
-        let idle = self.idle_timeout.max(bounds.idle);
+        let idle = self.idle_timeout.max(limits.idle_timeout);
         self.is_idle().then(|| self.timer_start + idle)
     }
 
@@ -223,7 +223,7 @@
             if self.reads_done || !room || self.input.is_empty() {
                 return;
             }
-            let most = (self.port.bounds)().head.bytes() as usize;
+            let most = (self.port.limits)().head.bytes() as usize;
             match request::parse(&mut self.input, most) {
                 Ok(Some(head)) => self.begin(head),
                 Ok(None) => return,
@@ -403,7 +403,7 @@
     fn start_idle_if_done(&mut self) {
         if self.writing.is_none() && self.pending.is_empty() {
             self.timer_start = Instant::now();
-            self.idle_timeout = (self.port.bounds)().idle;
+            self.idle_timeout = (self.port.limits)().idle_timeout;
         }
     }
 }
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -107,7 +107,7 @@
             depth: self.depth(origin)?,
             timing: self.timing(&matched.rule.name, origin, parts, route)?,
         };
-        let idle_timeout = self.setting.limits.pause;
+        let idle_timeout = self.setting.limits.idle_timeout;
         let guard = ResponseGuard {
             _in_flight: in_flight,
             _caller_limit: caller_limit,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -42,7 +42,7 @@
 pub use initial_timeout::InitialTimeout;
 pub use once::{Claims, Granted, NoClaim, claim_key};
 pub use origin::Origin;
-pub use port::{Bounds, Handler, Port};
+pub use port::{ConnectionLimits, Handler, Port};
 pub use refusal::{REASON, Reason, Refusal};
 pub use state::{Count, Entry, InFlight};
 pub use stats::Stats;
--- a/crates/entry/src/port.rs
+++ b/crates/entry/src/port.rs
@@ -21,13 +21,13 @@
 
 /// The limits on connections of one listening address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     /// Largest size of a request's head.
     pub head: Size,
     /// Longest time that a head may take to arrive, from its first byte.
     pub head_timeout: Duration,
     /// Longest time that a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Most concurrent connections. Any further one is closed immediately.
     pub connections: u32,
 }
@@ -38,7 +38,7 @@
     /// Answers requests. The future is dropped when the caller disconnects.
     pub handler: Handler,
     /// Returns the limits currently in force.
-    pub bounds: Arc<dyn Fn() -> Bounds + Send + Sync>,
+    pub limits: Arc<dyn Fn() -> ConnectionLimits + Send + Sync>,
     /// Once cancelled, each connection is closed after its requests in flight are answered.
     pub stop: CancellationToken,
 }
@@ -46,7 +46,7 @@
 impl Port {
     /// Serves the connections of `listener` until the port is stopped and all of them have ended.
     pub async fn serve(self, listener: TcpListener) {
-        let permits = Arc::new(Semaphore::new((self.bounds)().connections as usize));
+        let permits = Arc::new(Semaphore::new((self.limits)().connections as usize));
         let connections = TaskTracker::new();
         loop {
             let accepted = tokio::select! {
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -28,7 +28,7 @@
 
 /// The limits of one listening address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bound {
+pub struct Limits {
     /// Largest size of a request's head.
     pub head: Size,
     /// Longest time that a head may take to arrive. The time starts anew for each request of a
@@ -38,9 +38,9 @@
     pub connections: u32,
 }
 
-impl Default for Bound {
-    fn default() -> Bound {
-        Bound {
+impl Default for Limits {
+    fn default() -> Limits {
+        Limits {
             head: Size::of(64_000),
             head_timeout: Duration::from_secs(10),
             connections: 4_096,
@@ -60,13 +60,13 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Serves `handler` on `listener` until `stop` is cancelled and the requests in flight have ended.
-pub async fn serve<H>(listener: TcpListener, handler: H, bound: Bound, stop: CancellationToken)
+pub async fn serve<H>(listener: TcpListener, handler: H, limits: Limits, stop: CancellationToken)
 where
     H: NewHandler + 'static,
 {
     let handler = Arc::new(handler);
     let graceful = GracefulShutdown::new();
-    let permits = Arc::new(Semaphore::new(bound.connections as usize));
+    let permits = Arc::new(Semaphore::new(limits.connections as usize));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -82,7 +82,7 @@
                             permit,
                         },
                         &handler,
-                        bound,
+                        limits,
                         &graceful,
                     );
                 }
@@ -106,7 +106,7 @@
     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
 }
 
-fn connect<H>(connection: Connection, handler: &Arc<H>, bound: Bound, graceful: &GracefulShutdown)
+fn connect<H>(connection: Connection, handler: &Arc<H>, limits: Limits, graceful: &GracefulShutdown)
 where
     H: NewHandler + 'static,
 {
@@ -119,11 +119,11 @@
         log::debug!("entry: connection of {peer}: {error}.");
     }
     let handler = handler.clone();
-    let service = service_fn(move |request| answer(handler.clone(), request, peer, bound.head));
+    let service = service_fn(move |request| answer(handler.clone(), request, peer, limits.head));
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new());
-    builder.header_read_timeout(bound.head_timeout);
-    builder.max_buf_size(bound.head.bytes() as usize + EXTRA_BUFFER_BYTES);
+    builder.header_read_timeout(limits.head_timeout);
+    builder.max_buf_size(limits.head.bytes() as usize + EXTRA_BUFFER_BYTES);
     let served = graceful.watch(builder.serve_connection(TokioIo::new(stream), service));
     tokio::spawn(async move {
         if let Err(error) = served.await {
--- a/crates/entry/tests/connection.rs
+++ b/crates/entry/tests/connection.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use entry::{Body, Bounds, Handler, Port};
+use entry::{Body, ConnectionLimits, Handler, Port};
 use futures_util::FutureExt;
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
@@ -18,11 +18,11 @@
 
 const SOON: Duration = Duration::from_secs(5);
 
-fn bounds() -> Bounds {
-    Bounds {
+fn limits() -> ConnectionLimits {
+    ConnectionLimits {
         head: Size::of(4_096),
         head_timeout: Duration::from_millis(200),
-        idle: Duration::from_secs(60),
+        idle_timeout: Duration::from_secs(60),
         connections: 16,
     }
 }
@@ -34,7 +34,7 @@
     let stop = CancellationToken::new();
     let port = Port {
         handler,
-        bounds: Arc::new(bounds),
+        limits: Arc::new(limits),
         stop: stop.clone(),
     };
     tokio::spawn(port.serve(listener));
