--- a/crates/appleshore/src/assembly.rs
+++ b/crates/appleshore/src/assembly.rs
@@ -115,7 +115,7 @@
 pub(crate) fn entry(setting: &Setting, ways: &Ways<'_>, held: held::Table) -> Entry {
     let limits = Limits {
         body: setting.limits.body,
-        pause: setting.limits.idle.0,
+        idle_timeout: setting.limits.idle.0,
         depth: Depth(setting.limits.depth),
         ..Limits::default()
     };
@@ -142,10 +142,10 @@
     .retry(profile.retry)
     .choice(profile.choice);
     if let Some(most) = profile.hand_overs {
-        entry = entry.hand_overs(most);
+        entry = entry.max_handovers(most);
     }
     if let Some(bound) = profile.link_within {
-        entry = entry.link_within(bound);
+        entry = entry.link_timeout(bound);
     }
     entry.build()
 }
--- a/crates/appleshore/src/port.rs
+++ b/crates/appleshore/src/port.rs
@@ -6,14 +6,14 @@
 use std::sync::Arc;
 
 use dialect::Dialect;
-use entry::{Body, Bounds, Entry, Origin, Port};
+use entry::{Body, ConnectionLimits, Entry, Origin, Port};
 use futures_util::FutureExt;
 use gotham::handler::HandlerFuture;
 use gotham::router::Router;
 use gotham::router::builder::{DefineSingleRoute, DrawRoutes, build_simple_router};
 use gotham::state::{FromState, State, client_addr};
 use http::{HeaderMap, Method, Request, Uri};
-use nest::{Nest, Table};
+use nest::{Parent, Table};
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
@@ -23,7 +23,7 @@
     entry: Arc<Entry>,
     nests: Table,
     dialect: Dialect,
-    bounds: impl Fn() -> Bounds + Send + Sync + 'static,
+    limits: impl Fn() -> ConnectionLimits + Send + Sync + 'static,
     stop: CancellationToken,
 ) -> Port {
     let handler = move |peer: SocketAddr, request: Request<Body>| {
@@ -39,14 +39,14 @@
             let response = entry
                 .handle(Origin::Nested(Some(nest.clone())), request)
                 .await;
-            nest.was_away(began.elapsed());
+            nest.add_nested_time(began.elapsed());
             response
         }
         .boxed()
     };
     Port {
         handler: Arc::new(handler),
-        bounds: Arc::new(bounds),
+        limits: Arc::new(limits),
         stop,
     }
 }
@@ -73,7 +73,7 @@
     Origin::Outside(peer.unwrap_or(std::net::Ipv4Addr::UNSPECIFIED.into()))
 }
 
-fn nest(state: &State, nests: &Table) -> Option<Nest> {
+fn nest(state: &State, nests: &Table) -> Option<Parent> {
     let headers = HeaderMap::try_borrow_from(state)?;
     let token = headers.get(nest::HEADER)?.to_str().ok()?;
     nests.find(token.parse().ok()?)
