--- a/bench/src/history/parts.rs
+++ b/bench/src/history/parts.rs
@@ -15,7 +15,7 @@
 use gate::Gate;
 use http::{Request, Response};
 use http_body_util::BodyExt;
-use ledger::message::{Answer, Ask, Wish};
+use ledger::message::{Answer, Ask, ClaimRequest};
 use ledger::{Claim, Claimed, End, Ledger};
 use parking_lot::RwLock;
 use rule::Document;
@@ -230,7 +230,7 @@
         let claimed = Claimed::Granted;
         return Ok(Granted { token, claimed });
     }
-    match ledger.answer(Ask::Claim(Wish::of(claim))).await {
+    match ledger.answer(Ask::Claim(ClaimRequest::new(claim))).await {
         Answer::Claimed(claimed) => Ok(Granted { token, claimed }),
         Answer::Failed { cause, retry_after } => Err(NoClaim { cause, retry_after }),
         answer => Err(NoClaim {
--- a/crates/appleshore/src/claims.rs
+++ b/crates/appleshore/src/claims.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use entry::{Claims, Granted, NoClaim};
-use ledger::message::{Answer, Ask, Wish};
+use ledger::message::{Answer, Ask, ClaimRequest};
 use ledger::{Claim, End, Ledger, Moment, Record};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tokio_util::task::TaskTracker;
@@ -107,7 +107,10 @@
             let Some(owner) = self.owner(claim.key, &passed) else {
                 break;
             };
-            match self.ask(&owner, Ask::Claim(Wish::of(claim.clone()))).await {
+            match self
+                .ask(&owner, Ask::Claim(ClaimRequest::new(claim.clone())))
+                .await
+            {
                 Ok(Answer::Claimed(claimed)) => {
                     return Ok(Granted {
                         token: claim.token,
--- a/crates/ledger/examples/claims.rs
+++ b/crates/ledger/examples/claims.rs
@@ -102,7 +102,7 @@
         let store = counted(self.platform.store(), self.bytes.clone());
         Ledger::builder(store)
             .shards(arguments.shards)
-            .roll(arguments.roll)
+            .segment_size(arguments.roll)
             .writes(share)
     }
 }
--- a/crates/ledger/src/build.rs
+++ b/crates/ledger/src/build.rs
@@ -111,7 +111,7 @@
             known.frozen = None;
             self.sealed = None;
         }
-        if head.old.is_none() && head.new.weight() >= self.limit.roll {
+        if head.old.is_none() && head.new.weight() >= self.limit.segment_size {
             head.old = Some(std::mem::take(&mut head.new));
         }
     }
@@ -141,7 +141,7 @@
             return;
         }
         let look = self.look(&ask, known);
-        let stale = now.saturating_duration_since(known.confirmed) > self.limit.fresh;
+        let stale = now.saturating_duration_since(known.confirmed) > self.limit.max_staleness;
         match (look, &ask.want) {
             (Look::Probe(numbers), _) => turn.probes.push((ask, numbers)),
             // The claim was sent, has not landed, and the newer version keeps it from landing.
--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -31,7 +31,7 @@
             display("the store is down")
         }
         /// There was no answer of the store within the wait.
-        GivenUp {
+        TimedOut {
             display("the store did not confirm in time")
         }
         /// The claim was released before it was written: whoever asked has given it up.
@@ -39,11 +39,11 @@
             display("the claim was released before it was written")
         }
         /// The shard holds as many keys within its retention as it may.
-        Keys {
+        TooManyKeys {
             display("too many keys within the retention")
         }
         /// The store's ledger was laid out with another number of shards.
-        Layout(shards: u16) {
+        LayoutMismatch(shards: u16) {
             display("the store's ledger has {shards} shards")
         }
         /// An object of the ledger can't be read.
--- a/crates/ledger/src/lane.rs
+++ b/crates/ledger/src/lane.rs
@@ -162,7 +162,7 @@
 
     /// Answers all asks at once when waiting can't help.
     fn refuse(&self, kind: &Kind) {
-        if !matches!(kind, Kind::Layout(_) | Kind::Garbled(_)) {
+        if !matches!(kind, Kind::LayoutMismatch(_) | Kind::Garbled(_)) {
             return;
         }
         let asks = std::mem::take(&mut self.shard.lock().queue);
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -42,7 +42,7 @@
     lanes: Vec<Arc<Lane>>,
     tasks: Vec<JoinHandle<()>>,
     owner: Option<Instance>,
-    patience: Duration,
+    timeout: Duration,
 }
 
 impl Drop for Inner {
@@ -90,7 +90,7 @@
                 lanes,
                 tasks,
                 owner: builder.owner,
-                patience: builder.limit.patience,
+                timeout: builder.limit.timeout,
             }),
         }
     }
@@ -120,7 +120,7 @@
     ///
     /// When the store gives no answer in time.
     pub async fn find(&self, key: Digest) -> Result<Option<Record>, Error> {
-        let until = Instant::now() + self.inner.patience;
+        let until = Instant::now() + self.inner.timeout;
         match self.ask(Want::Look(key), until).await? {
             Verdict::Found(record) => Ok(record),
             Verdict::Failed(error) => Err(error),
@@ -214,7 +214,7 @@
         let (key, step) = (want.key(), want.step());
         let lane = self.lane(key);
         let now = Instant::now();
-        let until = until.min(now + self.inner.patience);
+        let until = until.min(now + self.inner.timeout);
         let (reply, mut answer) = oneshot::channel();
         let ask = Ask {
             want,
@@ -235,7 +235,7 @@
         answer.close();
         match answer.try_recv() {
             Ok(reply) => Ok(open(reply)),
-            Err(_) => Err(lane.error(step, Kind::GivenUp)),
+            Err(_) => Err(lane.error(step, Kind::TimedOut)),
         }
     }
 
--- a/crates/ledger/src/load.rs
+++ b/crates/ledger/src/load.rs
@@ -48,7 +48,7 @@
         let text = str::from_utf8(&object.value).map_err(|_| garbled())?;
         let shards: u16 = text.parse().map_err(|_| garbled())?;
         if shards != self.shards {
-            return Err(Kind::Layout(shards));
+            return Err(Kind::LayoutMismatch(shards));
         }
         Ok(())
     }
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ask {
     /// Claims a key.
-    Claim(Wish),
+    Claim(ClaimRequest),
     /// Records an end.
     End(End),
     /// Looks a key up.
@@ -21,7 +21,7 @@
 
 /// A [`Claim`] on its way: its deadline as the time that is left.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wish {
+pub struct ClaimRequest {
     key: Digest,
     body: Digest,
     caller: Caller,
@@ -49,10 +49,10 @@
     },
 }
 
-impl Wish {
+impl ClaimRequest {
     /// The claim as it is sent now.
-    pub fn of(claim: Claim) -> Wish {
-        Wish {
+    pub fn new(claim: Claim) -> ClaimRequest {
+        ClaimRequest {
             key: claim.key,
             body: claim.body,
             caller: claim.caller,
@@ -64,7 +64,7 @@
     }
 
     /// The claim as it has come now.
-    pub fn claim(self) -> Claim {
+    pub fn into_claim(self) -> Claim {
         Claim {
             key: self.key,
             body: self.body,
@@ -85,8 +85,8 @@
             retry_after: error.retry_after,
         };
         match ask {
-            Ask::Claim(wish) => self
-                .claim(wish.claim())
+            Ask::Claim(request) => self
+                .claim(request.into_claim())
                 .await
                 .map_or_else(failed, Answer::Claimed),
             Ask::End(end) => self.end(end).await.map_or_else(failed, |()| Answer::Ended),
--- a/crates/ledger/src/setting.rs
+++ b/crates/ledger/src/setting.rs
@@ -30,19 +30,19 @@
     /// Claims in one write.
     pub(crate) batch: usize,
     /// Keys within the retention.
-    pub(crate) keys: usize,
+    pub(crate) max_keys: usize,
     /// Bytes of a generation at which it is frozen.
-    pub(crate) roll: usize,
+    pub(crate) segment_size: usize,
     /// How long a claim waits for the store.
-    pub(crate) patience: Duration,
+    pub(crate) timeout: Duration,
     /// How long a state that the store confirmed may speak for the store.
-    pub(crate) fresh: Duration,
+    pub(crate) max_staleness: Duration,
     /// How long an end waits for a claim to ride with.
     pub(crate) linger: Duration,
     /// How long claims are kept.
     pub(crate) retention: Duration,
     /// After how long without work a shard forgets its state.
-    pub(crate) idle: Duration,
+    pub(crate) idle_timeout: Duration,
 }
 
 /// Tells the time of day from the runtime's clock, so that tests can advance it.
@@ -61,7 +61,7 @@
 
 /// The largest roll size: a head holds two generations and one batch, and must stay below the
 /// platform's megabyte.
-const MAX_ROLL: u64 = 300_000;
+const MAX_SEGMENT_SIZE: u64 = 300_000;
 
 impl Builder {
     pub(crate) fn new(store: Store) -> Builder {
@@ -79,13 +79,13 @@
             limit: Limit {
                 queue: 4_000,
                 batch: 1_000,
-                keys: 2_000_000,
-                roll: 32_000,
-                patience: Duration::from_millis(1_000),
-                fresh: Duration::from_millis(500),
+                max_keys: 2_000_000,
+                segment_size: 32_000,
+                timeout: Duration::from_millis(1_000),
+                max_staleness: Duration::from_millis(500),
                 linger: Duration::from_millis(100),
                 retention: Duration::from_secs(24 * 3600),
-                idle: Duration::from_secs(300),
+                idle_timeout: Duration::from_secs(300),
             },
         }
     }
@@ -152,21 +152,21 @@
     }
 
     /// The keys that one shard may hold within its retention; 8 bytes of memory each.
-    pub fn keys(mut self, keys: usize) -> Builder {
-        self.limit.keys = keys;
+    pub fn max_keys(mut self, keys: usize) -> Builder {
+        self.limit.max_keys = keys;
         self
     }
 
     /// The size at which the claims of a head become a sealed segment; at most 300 KB.
-    pub fn roll(mut self, size: Size) -> Builder {
-        let bytes = size.bytes().min(MAX_ROLL);
-        self.limit.roll = usize::try_from(bytes).unwrap_or(usize::MAX);
+    pub fn segment_size(mut self, size: Size) -> Builder {
+        let bytes = size.bytes().min(MAX_SEGMENT_SIZE);
+        self.limit.segment_size = usize::try_from(bytes).unwrap_or(usize::MAX);
         self
     }
 
     /// How long a claim waits for the store before it is given up.
-    pub fn patience(mut self, patience: Duration) -> Builder {
-        self.limit.patience = patience;
+    pub fn timeout(mut self, timeout: Duration) -> Builder {
+        self.limit.timeout = timeout;
         self
     }
 
@@ -177,14 +177,14 @@
     }
 
     /// How long a confirmed state may answer that a key is taken without asking the store.
-    pub fn fresh(mut self, fresh: Duration) -> Builder {
-        self.limit.fresh = fresh;
+    pub fn max_staleness(mut self, staleness: Duration) -> Builder {
+        self.limit.max_staleness = staleness;
         self
     }
 
     /// After how long without work a shard forgets its keys, to be read again when needed.
-    pub fn idle(mut self, idle: Duration) -> Builder {
-        self.limit.idle = idle;
+    pub fn idle_timeout(mut self, timeout: Duration) -> Builder {
+        self.limit.idle_timeout = timeout;
         self
     }
 
--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -160,14 +160,14 @@
         if self.is_down(now) {
             return Some(Kind::Down);
         }
-        (self.keys() >= self.limit.keys).then_some(Kind::Keys)
+        (self.keys() >= self.limit.max_keys).then_some(Kind::TooManyKeys)
     }
 
     /// Whether the store has failed for longer than a claim would wait.
     pub(crate) fn is_down(&self, now: Instant) -> bool {
         let since = |since| now.saturating_duration_since(since);
         self.failing
-            .is_some_and(|at| since(at) >= self.limit.patience)
+            .is_some_and(|at| since(at) >= self.limit.timeout)
     }
 
     /// Takes an end or a release in, to be written with a later batch.
@@ -188,7 +188,7 @@
         pause
             .unwrap_or_default()
             .max(Duration::from_millis(100))
-            .min(self.limit.patience)
+            .min(self.limit.timeout)
     }
 
     /// Keys in the head and in the segments.
@@ -255,7 +255,7 @@
         if let Some(note) = self.notes.first() {
             return Some(note.since + self.limit.linger);
         }
-        let until = self.worked? + self.limit.idle;
+        let until = self.worked? + self.limit.idle_timeout;
         if until > now {
             return Some(until);
         }
--- a/crates/ledger/tests/ledger/era.rs
+++ b/crates/ledger/tests/ledger/era.rs
@@ -13,7 +13,7 @@
     Ledger::builder(platform.store_named(name))
         .shards(1)
         .batch(10)
-        .roll(Size::of(4_000))
+        .segment_size(Size::of(4_000))
         .open()
 }
 
--- a/crates/ledger/tests/ledger/fault.rs
+++ b/crates/ledger/tests/ledger/fault.rs
@@ -82,12 +82,12 @@
 async fn a_write_that_lands_after_the_give_up_leaves_no_dead_key() {
     let platform = platform();
     let ledger = builder(&platform, "a")
-        .patience(Duration::from_millis(300))
+        .timeout(Duration::from_millis(300))
         .open();
     ledger.claim(claim(1, 1)).await.unwrap();
     platform.fault().delay_next(9, Duration::from_secs(3));
     let error = ledger.claim(claim(2, 2)).await.unwrap_err();
-    assert_eq!(error.kind, Kind::GivenUp);
+    assert_eq!(error.kind, Kind::TimedOut);
     platform.fault().delay_next(0, Duration::ZERO);
     pass(10_000).await;
     assert_eq!(ledger.find(key(2)).await.unwrap(), None);
@@ -159,7 +159,7 @@
 async fn the_write_of_a_paused_owner_fails_by_its_version() {
     let platform = platform();
     let paused = builder(&platform, "a")
-        .patience(Duration::from_millis(500))
+        .timeout(Duration::from_millis(500))
         .open();
     paused.claim(claim(1, 1)).await.unwrap();
     platform.fault_of("a").hold(true);
@@ -167,7 +167,7 @@
     pass(100).await;
     let other = open(&platform, "b");
     assert_eq!(other.claim(claim(2, 3)).await.unwrap(), Claimed::Granted);
-    assert_eq!(late.await.unwrap().unwrap_err().kind, Kind::GivenUp);
+    assert_eq!(late.await.unwrap().unwrap_err().kind, Kind::TimedOut);
     platform.fault_of("a").hold(false);
     pass(5_000).await;
     let held = paused.claim(claim(2, 4)).await.unwrap();
@@ -183,7 +183,7 @@
     ledger.claim(claim(1, 1)).await.unwrap();
     platform.fault().down(true);
     let error = ledger.claim(claim(2, 2)).await.unwrap_err();
-    assert_eq!(error.kind, Kind::GivenUp);
+    assert_eq!(error.kind, Kind::TimedOut);
     let before = Instant::now();
     let error = ledger.claim(claim(2, 3)).await.unwrap_err();
     assert_eq!((error.kind, before.elapsed()), (Kind::Down, Duration::ZERO));
@@ -203,7 +203,7 @@
     let ledger = open(&platform, "a");
     assert_eq!(
         ledger.claim(claim(1, 2)).await.unwrap_err().kind,
-        Kind::GivenUp
+        Kind::TimedOut
     );
     assert_eq!(
         ledger.claim(claim(1, 3)).await.unwrap_err().kind,
@@ -283,7 +283,7 @@
     open(&platform, "a").claim(claim(1, 1)).await.unwrap();
     let other = Ledger::builder(platform.store()).shards(2).open();
     let error = other.claim(claim(1, 2)).await.unwrap_err();
-    assert_eq!(error.kind, Kind::Layout(1));
+    assert_eq!(error.kind, Kind::LayoutMismatch(1));
 }
 
 // The caller is told "not run" and its resend is never answered. Its entry asks an owner that is
--- a/crates/ledger/tests/ledger/race.rs
+++ b/crates/ledger/tests/ledger/race.rs
@@ -105,10 +105,10 @@
         Ledger::builder(way(platform.store_named(name)))
             .shards(2)
             .batch(5)
-            .roll(Size::of(1_000))
+            .segment_size(Size::of(1_000))
             .seed(seed)
             .moment(Moment(1_000_000))
-            .patience(Duration::from_millis(400))
+            .timeout(Duration::from_millis(400))
             .open()
     })
 }
--- a/crates/ledger/tests/ledger/segment.rs
+++ b/crates/ledger/tests/ledger/segment.rs
@@ -14,7 +14,7 @@
     Ledger::builder(platform.store_named(name))
         .shards(1)
         .batch(10)
-        .roll(Size::of(4_000))
+        .segment_size(Size::of(4_000))
 }
 
 /// Claims the keys in `from..to`, each key's number being its token.
@@ -126,7 +126,11 @@
 async fn an_owner_that_dies_before_the_segment_loses_no_claim() {
     let platform = Platform::builder().open();
     let first = Ledger::builder(without_segments(platform.store()));
-    let first = first.shards(1).batch(10).roll(Size::of(4_000)).open();
+    let first = first
+        .shards(1)
+        .batch(10)
+        .segment_size(Size::of(4_000))
+        .open();
     fill(&first, 0, 100).await;
     drop(first);
     assert_eq!(segments(&platform).await, 0);
@@ -156,7 +160,7 @@
     for task in tasks {
         match task.await.unwrap() {
             Ok(claimed) => granted += u32::from(claimed == Claimed::Granted),
-            Err(error) => assert_eq!(error.kind, Kind::GivenUp),
+            Err(error) => assert_eq!(error.kind, Kind::TimedOut),
         }
     }
     assert!((10_000..12_000).contains(&granted), "{granted} granted");
@@ -240,18 +244,20 @@
 #[tokio::test(start_paused = true)]
 async fn a_shard_with_too_many_keys_refuses_new_ones() {
     let platform = Platform::builder().open();
-    let ledger = builder(&platform, "a").keys(50).open();
+    let ledger = builder(&platform, "a").max_keys(50).open();
     fill(&ledger, 0, 50).await;
     assert_eq!(
         ledger.claim(claim(50, 1)).await.unwrap_err().kind,
-        Kind::Keys
+        Kind::TooManyKeys
     );
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_idle_shard_forgets_its_keys_and_reads_them_again() {
     let platform = Platform::builder().open();
-    let ledger = builder(&platform, "a").idle(Duration::from_secs(10)).open();
+    let ledger = builder(&platform, "a")
+        .idle_timeout(Duration::from_secs(10))
+        .open();
     fill(&ledger, 0, KEYS).await;
     assert!(ledger.dump().shards[0].sealed_keys > 0);
     pass(11_000).await;
