--- a/crates/ledger/src/build.rs
+++ b/crates/ledger/src/build.rs
@@ -5,20 +5,20 @@
 use store::Condition;
 use tokio::time::Instant;
 
-use crate::ask::{Ask, Note, Probed, Verdict, Want, What};
 use crate::claim::{Claimed, Moment, Record, body_part};
 use crate::recent::Replay;
-use crate::shard::{Flight, Known, Shard, Turn};
-use crate::slot::{Piece, fold};
+use crate::request::{Change, Operation, Probe, Request, Response, Update};
+use crate::shard::{Batch, CachedHead, Shard, Turn};
+use crate::slot::{Event, fold};
 
 /// Bytes of a head above which it takes no more claims; the platform holds a megabyte.
-const MAX_HEAD: usize = 900_000;
+const MAX_HEAD_BYTES: usize = 900_000;
 
 /// Bytes of a head above which it takes no more ends and releases either.
-const MAX_NOTES: usize = 950_000;
+const MAX_HEAD_BYTES_FOR_UPDATES: usize = 950_000;
 
 /// What the state says of an ask.
-enum Look {
+enum Lookup {
     Free,
     Record(Record),
     /// These segments must be read first.
@@ -27,53 +27,53 @@
 
 impl Shard {
     /// Builds the next batch, or answers `None` when there is nothing to write.
-    pub(crate) fn build(
+    pub(crate) fn build_batch(
         &mut self,
         now: Instant,
         moment: Moment,
         turn: &mut Turn,
-    ) -> Option<Flight> {
-        let mut known = self.known.take()?;
-        self.keep_house(&mut known, moment);
-        let replay = self.replay(&mut known);
-        let notes = self.take_notes(&mut known, moment);
-        let mut batch = Batch::default();
+    ) -> Option<Batch> {
+        let mut cached = self.cached.take()?;
+        self.rotate(&mut cached, moment);
+        let replay = self.replay(&mut cached);
+        let updates = self.take_updates(&mut cached, moment);
+        let mut draft = Draft::default();
         let mut queue = std::mem::take(&mut self.queue);
-        while batch.asks.len() < self.limit.batch && known.head.weight() < MAX_HEAD {
-            let Some(ask) = queue.pop_front() else {
+        while draft.requests.len() < self.limit.batch && cached.head.size_bound() < MAX_HEAD_BYTES {
+            let Some(request) = queue.pop_front() else {
                 break;
             };
-            self.sort(ask, &mut known, now, moment, &mut batch, turn);
+            self.dispatch(request, &mut cached, now, moment, &mut draft, turn);
         }
-        batch.later.append(&mut queue);
-        self.queue = batch.later;
-        let empty = batch.asks.is_empty() && notes.is_empty() && replay == Replay::Nothing;
+        draft.deferred.append(&mut queue);
+        self.queue = draft.deferred;
+        let empty = draft.requests.is_empty() && updates.is_empty() && replay == Replay::Nothing;
         // An answer from an old state needs the store's word first. A batch gives it as well.
-        self.reload = empty && batch.stale;
-        let bytes = known.head.encode();
-        let when = known.version.map_or(Condition::Absent, Condition::Match);
-        self.known = Some(known);
+        self.needs_load = empty && draft.stale;
+        let bytes = cached.head.encode();
+        let condition = cached.version.map_or(Condition::Absent, Condition::Match);
+        self.cached = Some(cached);
         if empty {
             return None;
         }
-        Some(Flight {
-            asks: batch.asks,
-            notes,
+        Some(Batch {
+            requests: draft.requests,
+            updates,
             // Plain numbers and texts can't fail to encode.
             bytes: bytes?,
-            when,
-            open: false,
+            condition,
+            may_land: false,
             moment,
-            replays: replay == Replay::All,
+            completes_replay: replay == Replay::All,
         })
     }
 
     /// Adds what the store has lost, before anything is answered from the head.
-    fn replay(&mut self, known: &mut Known) -> Replay {
+    fn replay(&mut self, cached: &mut CachedHead) -> Replay {
         if !self.recent.is_pending() {
             return Replay::Nothing;
         }
-        let replay = self.recent.replay(&mut known.head, MAX_HEAD);
+        let replay = self.recent.replay(&mut cached.head, MAX_HEAD_BYTES);
         if replay == Replay::Nothing {
             self.recent.confirm();
         }
@@ -81,22 +81,22 @@
     }
 
     /// Adds ends and releases, as many as a batch and the head can take.
-    fn take_notes(&mut self, known: &mut Known, moment: Moment) -> Vec<Note> {
+    fn take_updates(&mut self, cached: &mut CachedHead, moment: Moment) -> Vec<Update> {
         let mut taken = 0;
-        for note in self.notes.iter().take(self.limit.batch) {
-            if known.head.weight() >= MAX_NOTES {
+        for update in self.updates.iter().take(self.limit.batch) {
+            if cached.head.size_bound() >= MAX_HEAD_BYTES_FOR_UPDATES {
                 break;
             }
-            apply(known, note, moment);
+            apply(cached, update, moment);
             taken += 1;
         }
-        self.notes.drain(..taken).collect()
+        self.updates.drain(..taken).collect()
     }
 
     /// Drops what is out of the retention, counts a sealed segment in, and freezes a large
     /// generation. All of it rides on the write of a batch.
-    fn keep_house(&mut self, known: &mut Known, moment: Moment) {
-        let head = &mut known.head;
+    fn rotate(&mut self, cached: &mut CachedHead, moment: Moment) {
+        let head = &mut cached.head;
         while let Some(newest) = self.index.newest(head.first)
             && newest.after(self.limit.retention) < moment
         {
@@ -104,96 +104,100 @@
             head.first += 1;
         }
         if self.sealed == Some(head.next)
-            && let Some(old) = head.old.take()
+            && let Some(frozen) = head.frozen.take()
         {
-            self.index.insert(head.next, &old);
+            self.index.insert(head.next, &frozen);
             head.next += 1;
-            known.frozen = None;
+            cached.stored_frozen = None;
             self.sealed = None;
         }
-        if head.old.is_none() && head.new.weight() >= self.limit.segment_size {
-            head.old = Some(std::mem::take(&mut head.new));
+        if head.frozen.is_none() && head.active.size_bound() >= self.limit.segment_size {
+            head.frozen = Some(std::mem::take(&mut head.active));
         }
     }
 
     /// Answers an ask, puts it into the batch, or lays it aside.
-    fn sort(
+    fn dispatch(
         &mut self,
-        ask: Ask,
-        known: &mut Known,
+        request: Request,
+        cached: &mut CachedHead,
         now: Instant,
         moment: Moment,
-        batch: &mut Batch,
+        draft: &mut Draft,
         turn: &mut Turn,
     ) {
         // Nobody waits, and the claim can't have been written.
-        if ask.reply.is_closed() && !ask.tried {
+        if request.reply.is_closed() && !request.maybe_written {
             self.count.given_up += 1;
             return;
         }
-        let key = ask.want.key();
-        if batch.keys.contains(&key) {
-            batch.later.push_back(ask);
+        let key = request.operation.key();
+        if draft.keys.contains(&key) {
+            draft.deferred.push_back(request);
             return;
         }
-        if was_released(&ask, known) {
-            turn.released.push(ask);
+        if was_released(&request, cached) {
+            turn.released.push(request);
             return;
         }
-        let look = self.look(&ask, known);
-        let stale = now.saturating_duration_since(known.confirmed) > self.limit.max_staleness;
-        match (look, &ask.want) {
-            (Look::Probe(numbers), _) => turn.probes.push((ask, numbers)),
+        let lookup = self.lookup(&request, cached);
+        let stale = now.saturating_duration_since(cached.confirmed_at) > self.limit.max_staleness;
+        match (lookup, &request.operation) {
+            (Lookup::Probe(segments), _) => turn.probes.push((request, segments)),
             // The claim was sent, has not landed, and the newer version keeps it from landing.
-            (Look::Free, Want::Claim(_)) if ask.reply.is_closed() => self.count.given_up += 1,
-            (Look::Free, Want::Claim(claim)) => {
-                known.head.new.take(claim, moment);
-                batch.keys.insert(key);
-                batch.asks.push(ask);
+            (Lookup::Free, Operation::Claim(_)) if request.reply.is_closed() => {
+                self.count.given_up += 1;
             }
-            (Look::Record(record), Want::Claim(claim))
-                if ask.tried && record.token == claim.token =>
+            (Lookup::Free, Operation::Claim(claim)) => {
+                cached.head.active.claim(claim, moment);
+                draft.keys.insert(key);
+                draft.requests.push(request);
+            }
+            (Lookup::Record(record), Operation::Claim(claim))
+                if request.maybe_written && record.token == claim.token =>
             {
-                let verdict = Verdict::Claimed(Claimed::Granted);
-                turn.answers.push((ask, verdict));
+                let response = Response::Claimed(Claimed::Granted);
+                turn.answers.push((request, response));
             }
             _ if stale => {
-                batch.stale = true;
-                batch.later.push_back(ask);
+                draft.stale = true;
+                draft.deferred.push_back(request);
+            }
+            (Lookup::Record(record), Operation::Claim(claim)) => {
+                let response = Response::Claimed(existing(record, body_part(claim.body)));
+                turn.answers.push((request, response));
             }
-            (Look::Record(record), Want::Claim(claim)) => {
-                let verdict = Verdict::Claimed(taken(record, body_part(claim.body)));
-                turn.answers.push((ask, verdict));
+            (Lookup::Record(record), Operation::Find(_)) => {
+                turn.answers.push((request, Response::Found(Some(record))));
             }
-            (Look::Record(record), Want::Look(_)) => {
-                turn.answers.push((ask, Verdict::Found(Some(record))));
+            (Lookup::Free, Operation::Find(_)) => {
+                turn.answers.push((request, Response::Found(None)));
             }
-            (Look::Free, Want::Look(_)) => turn.answers.push((ask, Verdict::Found(None))),
         }
     }
 
-    fn look(&self, ask: &Ask, known: &Known) -> Look {
-        let key = ask.want.key();
-        let mut pieces: Vec<Piece> = known.head.pieces(key).collect();
-        let claimed = pieces.iter().any(|piece| matches!(piece, Piece::Claim(_)));
+    fn lookup(&self, request: &Request, cached: &CachedHead) -> Lookup {
+        let key = request.operation.key();
+        let mut events: Vec<Event> = cached.head.events(key).collect();
+        let claimed = events.iter().any(|event| matches!(event, Event::Claim(_)));
         if !claimed {
-            let hits = self.index.hits(key);
-            match &ask.probed {
-                Some(probed) if covers(probed, &hits) => pieces.extend(probed.pieces.clone()),
-                _ if hits.is_empty() => {}
-                _ => return Look::Probe(hits),
+            let candidates = self.index.candidates(key);
+            match &request.probe {
+                Some(probe) if covers(probe, &candidates) => events.extend(probe.events.clone()),
+                _ if candidates.is_empty() => {}
+                _ => return Lookup::Probe(candidates),
             }
         }
-        fold(pieces).map_or(Look::Free, Look::Record)
+        fold(events).map_or(Lookup::Free, Lookup::Record)
     }
 }
 
 /// What is gathered while a batch is built.
 #[derive(Default)]
-struct Batch {
-    asks: Vec<Ask>,
+struct Draft {
+    requests: Vec<Request>,
     keys: HashSet<unit::Digest>,
-    later: VecDeque<Ask>,
+    deferred: VecDeque<Request>,
     stale: bool,
 }
 
@@ -203,18 +207,20 @@
 /// the claim, while that waits here for a slow store or for a paused process. Granted then, it would
 /// never be released again, and the key would be dead though nothing ran. Its token stands among
 /// the released ones, and the version check shows us these before we write.
-fn was_released(ask: &Ask, known: &Known) -> bool {
-    let Want::Claim(claim) = &ask.want else {
+fn was_released(request: &Request, cached: &CachedHead) -> bool {
+    let Operation::Claim(claim) = &request.operation else {
         return false;
     };
-    known.head.has_released(claim.key, claim.token)
+    cached.head.has_released(claim.key, claim.token)
 }
 
-fn covers(probed: &Probed, hits: &[u64]) -> bool {
-    hits.iter().all(|number| probed.numbers.contains(number))
+fn covers(probe: &Probe, candidates: &[u64]) -> bool {
+    candidates
+        .iter()
+        .all(|number| probe.segments.contains(number))
 }
 
-fn taken(record: Record, body: u64) -> Claimed {
+fn existing(record: Record, body: u64) -> Claimed {
     if record.body != body {
         return Claimed::Mismatch;
     }
@@ -224,11 +230,11 @@
     Claimed::Running(record)
 }
 
-fn apply(known: &mut Known, note: &Note, moment: Moment) {
-    let new = &mut known.head.new;
-    let (key, token) = (note.what.key(), note.what.token());
-    match &note.what {
-        What::End(end) => new.end(key, token, &end.ended()),
-        What::Free(..) => new.free(key, token, moment),
+fn apply(cached: &mut CachedHead, update: &Update, moment: Moment) {
+    let active = &mut cached.head.active;
+    let (key, token) = (update.change.key(), update.change.token());
+    match &update.change {
+        Change::End(end) => active.end(key, token, &end.ended()),
+        Change::Release(..) => active.release(key, token, moment),
     }
 }
--- a/crates/ledger/src/lane.rs
+++ b/crates/ledger/src/driver.rs
@@ -10,89 +10,89 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use unit::{Digest, Token};
 
-use crate::ask::{Ask, Note, Probed, Verdict, Want, What};
 use crate::claim::Claimed;
 use crate::error::{self, Kind};
 use crate::grant::{Grant, Reply};
-use crate::head::Path;
+use crate::head::ObjectKeys;
 use crate::load::{self, Layout};
+use crate::request::{Change, Operation, Probe, Request, Response, Update};
 use crate::setting::Clock;
-use crate::shard::{Answer, Chore, Next, Seal, Shard};
+use crate::shard::{Answer, Maintenance, Next, Seal, Shard};
 
 /// The first pause after a failure of the store.
-const PAUSE: Duration = Duration::from_millis(20);
+const MIN_PAUSE: Duration = Duration::from_millis(20);
 
 /// The longest pause between tries.
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
 /// One shard with all that its driver needs.
-pub(crate) struct Lane {
+pub(crate) struct Driver {
     pub(crate) number: u16,
     pub(crate) store: Store,
-    pub(crate) path: Path,
+    pub(crate) object_keys: ObjectKeys,
     pub(crate) layout: Arc<Layout>,
     pub(crate) clock: Clock,
     pub(crate) seed: u64,
     pub(crate) shard: Mutex<Shard>,
     pub(crate) wake: Notify,
-    pub(crate) chore: Notify,
+    pub(crate) maintenance: Notify,
     pub(crate) changed: watch::Sender<()>,
-    pub(crate) me: Weak<Lane>,
+    pub(crate) weak: Weak<Driver>,
 }
 
 /// Decides and carries out, turn by turn.
-pub(crate) async fn run(lane: Arc<Lane>) {
-    let mut backoff = Backoff::new(PAUSE, MAX_PAUSE, lane.seed);
-    let eras = lane.store.eras();
+pub(crate) async fn run(driver: Arc<Driver>) {
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE, driver.seed);
+    let eras = driver.store.eras();
     loop {
         let now = Instant::now();
         let era = eras.newest();
         let turn = {
-            let mut shard = lane.shard.lock();
-            shard.enter(era, now);
-            shard.turn(now, lane.clock.moment(now))
+            let mut shard = driver.shard.lock();
+            shard.enter_era(era, now);
+            shard.turn(now, driver.clock.moment(now))
         };
-        lane.deliver(turn.answers);
-        lane.fail(turn.released, &Kind::Released);
-        for (ask, numbers) in turn.probes {
-            tokio::spawn(probe(lane.clone(), ask, numbers));
+        driver.deliver(turn.answers);
+        driver.fail(turn.released, &Kind::Released);
+        for (request, segments) in turn.probes {
+            tokio::spawn(probe(driver.clone(), request, segments));
         }
         match turn.next {
             Next::Wait(until) => tokio::select! {
                 biased;
-                () = rest(&lane.wake, until) => {}
+                () = wait(&driver.wake, until) => {}
                 _ = eras.after(era) => {}
             },
-            Next::Load => lane.load(&mut backoff).await,
-            Next::Write(bytes, when) => lane.write(bytes, when, &mut backoff).await,
+            Next::Load => driver.load(&mut backoff).await,
+            Next::Write(bytes, condition) => driver.write(bytes, condition, &mut backoff).await,
         }
     }
 }
 
 /// Seals frozen generations and deletes segments out of the retention, beside the writes.
-pub(crate) async fn keep(lane: Arc<Lane>) {
-    let mut backoff = Backoff::new(PAUSE, MAX_PAUSE, !lane.seed);
+pub(crate) async fn maintain(driver: Arc<Driver>) {
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE, !driver.seed);
     loop {
-        let chore = lane.shard.lock().chore(Instant::now());
-        let done = match chore {
-            Chore::Wait(until) => {
-                rest(&lane.chore, until).await;
+        let task = driver.shard.lock().maintenance(Instant::now());
+        let done = match task {
+            Maintenance::Wait(until) => {
+                wait(&driver.maintenance, until).await;
                 continue;
             }
-            Chore::Seal(seal) => lane.seal(seal).await,
-            Chore::Sweep(number) => lane.sweep(number).await,
+            Maintenance::Seal(seal) => driver.seal(seal).await,
+            Maintenance::Delete(number) => driver.delete_segment(number).await,
         };
         match done {
             Ok(()) => backoff.reset(),
             Err(error) => {
-                log::debug!("ledger: shard {} could not tidy: {error}.", lane.number);
+                log::debug!("ledger: shard {} could not tidy: {error}.", driver.number);
                 sleep(backoff.pause()).await;
             }
         }
     }
 }
 
-async fn rest(notify: &Notify, until: Option<Instant>) {
+async fn wait(notify: &Notify, until: Option<Instant>) {
     match until {
         None => notify.notified().await,
         // In a fixed order, so that a run on a paused clock can be repeated.
@@ -105,41 +105,41 @@
 }
 
 /// Reads the segments that may hold the key of an ask, and queues the ask again.
-async fn probe(lane: Arc<Lane>, mut ask: Ask, numbers: Vec<u64>) {
-    let mut backoff = Backoff::new(PAUSE, MAX_PAUSE, lane.seed);
-    let key = ask.want.key();
-    lane.shard.lock().count.probes += 1;
+async fn probe(driver: Arc<Driver>, mut request: Request, segments: Vec<u64>) {
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE, driver.seed);
+    let key = request.operation.key();
+    driver.shard.lock().count.probes += 1;
     loop {
-        match load::pieces(&lane, key, &numbers).await {
-            Ok(pieces) => {
-                ask.probed = pieces.map(|pieces| Probed { numbers, pieces });
-                lane.shard.lock().queue.push_front(ask);
-                lane.wake.notify_one();
+        match load::events(&driver, key, &segments).await {
+            Ok(events) => {
+                request.probe = events.map(|events| Probe { segments, events });
+                driver.shard.lock().queue.push_front(request);
+                driver.wake.notify_one();
                 return;
             }
             // Whether this claim has landed must be found out, however long that takes.
-            Err(_) if ask.tried => sleep(backoff.pause()).await,
+            Err(_) if request.maybe_written => sleep(backoff.pause()).await,
             Err(kind) => {
-                let verdict = Verdict::Failed(lane.error(ask.want.step(), kind));
-                return lane.deliver(vec![(ask, verdict)]);
+                let response = Response::Failed(driver.error(request.operation.step(), kind));
+                return driver.deliver(vec![(request, response)]);
             }
         }
     }
 }
 
-impl Lane {
+impl Driver {
     /// Sends verdicts. A grant that can't be sent is dropped here, and so released; therefore no
     /// lock may be held.
     fn deliver(&self, answers: Vec<Answer>) {
-        for (ask, verdict) in answers {
-            self.shard.lock().count.add(&verdict);
-            let reply = match (verdict, &ask.want) {
-                (Verdict::Claimed(Claimed::Granted), Want::Claim(claim)) => {
-                    Reply::Granted(Grant::new(self.me.clone(), claim.key, claim.token))
+        for (request, response) in answers {
+            self.shard.lock().count.add(&response);
+            let reply = match (response, &request.operation) {
+                (Response::Claimed(Claimed::Granted), Operation::Claim(claim)) => {
+                    Reply::Granted(Grant::new(self.weak.clone(), claim.key, claim.token))
                 }
-                (verdict, _) => Reply::Other(verdict),
+                (response, _) => Reply::Other(response),
             };
-            drop(ask.reply.send(reply));
+            drop(request.reply.send(reply));
         }
     }
 
@@ -150,49 +150,52 @@
             Ok((head, version)) => {
                 backoff.reset();
                 self.shard.lock().loaded(now, head, version);
-                self.moved();
+                self.head_changed();
             }
             Err(kind) => {
                 log::warn!("ledger: shard {} can't be read: {kind}.", self.number);
                 self.shard.lock().load_failed(now, backoff.pause());
-                self.refuse(&kind);
+                self.fail_queued(&kind);
             }
         }
     }
 
     /// Answers all asks at once when waiting can't help.
-    fn refuse(&self, kind: &Kind) {
+    fn fail_queued(&self, kind: &Kind) {
         if !matches!(kind, Kind::LayoutMismatch(_) | Kind::Garbled(_)) {
             return;
         }
-        let asks = std::mem::take(&mut self.shard.lock().queue);
-        self.fail(asks, kind);
+        let requests = std::mem::take(&mut self.shard.lock().queue);
+        self.fail(requests, kind);
     }
 
-    fn fail(&self, asks: impl IntoIterator<Item = Ask>, kind: &Kind) {
-        let failed = |ask: Ask| {
-            let error = self.error(ask.want.step(), kind.clone());
-            (ask, Verdict::Failed(error))
+    fn fail(&self, requests: impl IntoIterator<Item = Request>, kind: &Kind) {
+        let failed = |request: Request| {
+            let error = self.error(request.operation.step(), kind.clone());
+            (request, Response::Failed(error))
         };
-        self.deliver(asks.into_iter().map(failed).collect());
+        self.deliver(requests.into_iter().map(failed).collect());
     }
 
-    async fn write(&self, bytes: Bytes, when: Condition, backoff: &mut Backoff) {
-        let result = self.store.put(&self.path.head(), bytes, when).await;
+    async fn write(&self, bytes: Bytes, condition: Condition, backoff: &mut Backoff) {
+        let result = self
+            .store
+            .put(&self.object_keys.head(), bytes, condition)
+            .await;
         let now = Instant::now();
         match result {
             Ok(version) => {
                 backoff.reset();
-                let (answers, notes) = self.shard.lock().written(now, version);
+                let (answers, updates) = self.shard.lock().written(now, version);
                 self.deliver(answers);
-                notes
+                updates
                     .into_iter()
-                    .filter_map(|note| note.reply)
+                    .filter_map(|update| update.reply)
                     .for_each(|reply| {
                         // Whoever reported may have stopped waiting; the record stands all the same.
                         let _ = reply.send(());
                     });
-                self.moved();
+                self.head_changed();
             }
             Err(error) if error.is_conflict() => {
                 log::info!("ledger: shard {} was written by another.", self.number);
@@ -207,17 +210,17 @@
         }
     }
 
-    fn moved(&self) {
+    fn head_changed(&self) {
         self.changed.send_replace(());
-        self.chore.notify_one();
+        self.maintenance.notify_one();
     }
 
     async fn seal(&self, seal: Seal) -> Result<(), Error> {
-        let key = self.path.segment(seal.number);
+        let key = self.object_keys.segment(seal.number);
         let put = self.store.put(&key, seal.bytes.clone(), Condition::Absent);
         match put.await {
             Ok(_) => {}
-            Err(error) if error.is_conflict() => self.seal_over(&key, &seal, error).await?,
+            Err(error) if error.is_conflict() => self.seal_conflicted(&key, &seal, error).await?,
             Err(error) => return Err(error),
         }
         self.shard.lock().sealed(&seal);
@@ -227,7 +230,7 @@
     /// Seals a segment whose number is taken: by these bytes, which the head fixes, or by those of a
     /// former era of the store, whose write has landed late. In an era after that of the head these
     /// bytes are the late ones.
-    async fn seal_over(&self, key: &str, seal: &Seal, conflict: Error) -> Result<(), Error> {
+    async fn seal_conflicted(&self, key: &str, seal: &Seal, conflict: Error) -> Result<(), Error> {
         let found = self.store.get(key).await?.ok_or(conflict.clone())?;
         if found.value == seal.bytes {
             return Ok(());
@@ -240,30 +243,38 @@
             seal.number,
             self.number
         );
-        let when = Condition::Match(found.version);
-        self.store.put(key, seal.bytes.clone(), when).await?;
+        let condition = Condition::Match(found.version);
+        self.store.put(key, seal.bytes.clone(), condition).await?;
         Ok(())
     }
 
-    async fn sweep(&self, number: u64) -> Result<(), Error> {
-        let key = self.path.segment(number);
+    async fn delete_segment(&self, number: u64) -> Result<(), Error> {
+        let key = self.object_keys.segment(number);
         self.store.delete(&key, Condition::Any).await?;
-        self.shard.lock().swept(number);
+        self.shard.lock().deleted(number);
         Ok(())
     }
 
     /// Notes that a claim was given up although it stands in the store.
-    pub(crate) fn give_up(&self, key: Digest, token: Token) {
+    pub(crate) fn release_abandoned(&self, key: Digest, token: Token) {
         log::info!("ledger: claim {token} was given up and is released.");
         self.shard.lock().count.released += 1;
         // A note without a reply is never refused.
-        let _ = self.note(What::Free(key, token), None);
+        let _ = self.push_update(Change::Release(key, token), None);
     }
 
-    pub(crate) fn note(&self, what: What, reply: Option<oneshot::Sender<()>>) -> Result<(), Kind> {
+    pub(crate) fn push_update(
+        &self,
+        change: Change,
+        reply: Option<oneshot::Sender<()>>,
+    ) -> Result<(), Kind> {
         let since = Instant::now();
-        let note = Note { what, reply, since };
-        self.shard.lock().note(note)?;
+        let update = Update {
+            change,
+            reply,
+            since,
+        };
+        self.shard.lock().push_update(update)?;
         self.changed.send_replace(());
         self.wake.notify_one();
         Ok(())
--- a/crates/ledger/src/dump.rs
+++ b/crates/ledger/src/dump.rs
@@ -3,8 +3,8 @@
 use serde::Serialize;
 use unit::{Instance, Version};
 
-use crate::ask::Verdict;
 use crate::claim::Claimed;
+use crate::request::Response;
 use crate::shard::Shard;
 
 /// The state of a ledger.
@@ -79,14 +79,14 @@
 }
 
 impl Count {
-    pub(crate) fn add(&mut self, verdict: &Verdict) {
-        let field = match verdict {
-            Verdict::Claimed(Claimed::Granted) => &mut self.granted,
-            Verdict::Claimed(Claimed::Running(_)) => &mut self.running,
-            Verdict::Claimed(Claimed::Done(_)) => &mut self.done,
-            Verdict::Claimed(Claimed::Mismatch) => &mut self.mismatch,
-            Verdict::Failed(_) => &mut self.failed,
-            Verdict::Found(_) => return,
+    pub(crate) fn add(&mut self, response: &Response) {
+        let field = match response {
+            Response::Claimed(Claimed::Granted) => &mut self.granted,
+            Response::Claimed(Claimed::Running(_)) => &mut self.running,
+            Response::Claimed(Claimed::Done(_)) => &mut self.done,
+            Response::Claimed(Claimed::Mismatch) => &mut self.mismatch,
+            Response::Failed(_) => &mut self.failed,
+            Response::Found(_) => return,
         };
         *field += 1;
     }
@@ -94,20 +94,25 @@
 
 impl Shard {
     pub(crate) fn dump(&self, number: u16, now: tokio::time::Instant) -> ShardDump {
-        let known = self.known.as_ref();
-        let failing = self.failing.map(|at| now.saturating_duration_since(at));
+        let cached = self.cached.as_ref();
+        let failing = self
+            .failing_since
+            .map(|at| now.saturating_duration_since(at));
         let ms = |span: std::time::Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
         ShardDump {
             number,
-            version: known.and_then(|known| known.version),
+            version: cached.and_then(|cached| cached.version),
             queued: self.queue.len(),
-            notes: self.notes.len(),
-            writing: self.flight.as_ref().map_or(0, |flight| flight.asks.len()),
-            head_keys: known.map_or(0, |known| known.head.len()),
-            head_bytes: known.map_or(0, |known| known.head.weight()),
+            notes: self.updates.len(),
+            writing: self
+                .in_flight
+                .as_ref()
+                .map_or(0, |in_flight| in_flight.requests.len()),
+            head_keys: cached.map_or(0, |cached| cached.head.len()),
+            head_bytes: cached.map_or(0, |cached| cached.head.size_bound()),
             sealed_keys: self.index.len(),
-            first: known.map_or(0, |known| known.head.first),
-            next: known.map_or(0, |known| known.head.next),
+            first: cached.map_or(0, |cached| cached.head.first),
+            next: cached.map_or(0, |cached| cached.head.next),
             failing_ms: failing.map(ms),
             count: self.count,
         }
--- a/crates/ledger/src/grant.rs
+++ b/crates/ledger/src/grant.rs
@@ -4,14 +4,14 @@
 
 use unit::{Digest, Token};
 
-use crate::ask::Verdict;
-use crate::lane::Lane;
+use crate::driver::Driver;
+use crate::request::Response;
 
 /// What is sent to whoever asked.
 #[derive(Debug)]
 pub(crate) enum Reply {
     Granted(Grant),
-    Other(Verdict),
+    Other(Response),
 }
 
 /// A confirmed claim that nobody has taken yet; dropped untaken, it is released.
@@ -20,35 +20,35 @@
 /// way. Nothing runs then, but the store holds the claim: without the release each resend would be
 /// told that the key runs, until the retention ends.
 pub(crate) struct Grant {
-    lane: Weak<Lane>,
+    driver: Weak<Driver>,
     key: Digest,
     token: Token,
-    taken: bool,
+    accepted: bool,
 }
 
 impl Grant {
-    pub(crate) fn new(lane: Weak<Lane>, key: Digest, token: Token) -> Grant {
+    pub(crate) fn new(driver: Weak<Driver>, key: Digest, token: Token) -> Grant {
         Grant {
-            lane,
+            driver,
             key,
             token,
-            taken: false,
+            accepted: false,
         }
     }
 
     /// Hands the claim to its asker, who has to report its end from here on.
-    pub(crate) fn take(mut self) {
-        self.taken = true;
+    pub(crate) fn accept(mut self) {
+        self.accepted = true;
     }
 }
 
 impl Drop for Grant {
     fn drop(&mut self) {
-        if self.taken {
+        if self.accepted {
             return;
         }
-        if let Some(lane) = self.lane.upgrade() {
-            lane.give_up(self.key, self.token);
+        if let Some(driver) = self.driver.upgrade() {
+            driver.release_abandoned(self.key, self.token);
         }
     }
 }
--- a/crates/ledger/src/head.rs
+++ b/crates/ledger/src/head.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use unit::{Digest, Token};
 
-use crate::slot::{Generation, Piece};
+use crate::slot::{Event, Generation};
 
 /// The format that this crate reads and writes.
 const FORMAT: u8 = 1;
@@ -24,31 +24,31 @@
 pub(crate) struct Head {
     format: u8,
     /// Segments below this number are deleted.
-    pub(crate) swept: u64,
+    pub(crate) deleted: u64,
     /// Segments below this number are out of the retention.
     pub(crate) first: u64,
     /// Segments below this number are sealed; the old generation will be this one.
     pub(crate) next: u64,
-    pub(crate) old: Option<Generation>,
-    pub(crate) new: Generation,
+    pub(crate) frozen: Option<Generation>,
+    pub(crate) active: Generation,
 }
 
 impl Head {
     pub(crate) fn empty() -> Head {
         Head {
             format: FORMAT,
-            swept: 0,
+            deleted: 0,
             first: 0,
             next: 0,
-            old: None,
-            new: Generation::default(),
+            frozen: None,
+            active: Generation::default(),
         }
     }
 
     pub(crate) fn decode(bytes: &[u8]) -> Option<Head> {
         let mut head: Head = postcard::from_bytes(bytes).ok()?;
-        head.old = head.old.map(Generation::restore);
-        head.new = head.new.restore();
+        head.frozen = head.frozen.map(Generation::rebuild);
+        head.active = head.active.rebuild();
         (head.format == FORMAT).then_some(head)
     }
 
@@ -57,53 +57,54 @@
     }
 
     /// An upper bound for the encoded size in bytes.
-    pub(crate) fn weight(&self) -> usize {
-        self.new.weight() + self.old.as_ref().map_or(0, Generation::weight)
+    pub(crate) fn size_bound(&self) -> usize {
+        self.active.size_bound() + self.frozen.as_ref().map_or(0, Generation::size_bound)
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.new.len() + self.old.as_ref().map_or(0, Generation::len)
+        self.active.len() + self.frozen.as_ref().map_or(0, Generation::len)
     }
 
     pub(crate) fn generations(&self) -> impl Iterator<Item = &Generation> {
-        std::iter::once(&self.new).chain(&self.old)
+        std::iter::once(&self.active).chain(&self.frozen)
     }
 
     /// What the generations say of a key, the newest first.
-    pub(crate) fn pieces(&self, key: Digest) -> impl Iterator<Item = Piece> {
-        self.generations().filter_map(move |held| held.piece(key))
+    pub(crate) fn events(&self, key: Digest) -> impl Iterator<Item = Event> {
+        self.generations()
+            .filter_map(move |generation| generation.event(key))
     }
 
     /// Whether the release of a claim stands here.
     pub(crate) fn has_released(&self, key: Digest, token: Token) -> bool {
-        let mut pieces = self.pieces(key);
-        pieces.any(|piece| matches!(piece, Piece::Free(freed) if freed.contains(&token)))
+        let mut events = self.events(key);
+        events.any(|event| matches!(event, Event::Release(tokens) if tokens.contains(&token)))
     }
 }
 
 /// Encodes a frozen generation as a segment.
-pub(crate) fn segment(generation: &Generation) -> Option<Bytes> {
+pub(crate) fn encode_segment(generation: &Generation) -> Option<Bytes> {
     postcard::to_stdvec(&(FORMAT, generation))
         .ok()
         .map(Bytes::from)
 }
 
 /// Reads a segment.
-pub(crate) fn parse_segment(bytes: &[u8]) -> Option<Generation> {
+pub(crate) fn decode_segment(bytes: &[u8]) -> Option<Generation> {
     let (format, generation): (u8, Generation) = postcard::from_bytes(bytes).ok()?;
-    (format == FORMAT).then(|| generation.restore())
+    (format == FORMAT).then(|| generation.rebuild())
 }
 
 /// Where a ledger's objects lie in the store.
 #[derive(Debug, Clone)]
-pub(crate) struct Path {
+pub(crate) struct ObjectKeys {
     prefix: String,
     shard: u16,
 }
 
-impl Path {
-    pub(crate) fn new(prefix: &str, shard: u16) -> Path {
-        Path {
+impl ObjectKeys {
+    pub(crate) fn new(prefix: &str, shard: u16) -> ObjectKeys {
+        ObjectKeys {
             prefix: prefix.to_string(),
             shard,
         }
--- a/crates/ledger/src/index.rs
+++ b/crates/ledger/src/index.rs
@@ -20,31 +20,31 @@
 
 #[derive(Debug)]
 struct Segment {
-    parts: Vec<u64>,
+    prefixes: Vec<u64>,
     newest: Moment,
 }
 
-fn part(key: Digest) -> u64 {
+fn prefix(key: Digest) -> u64 {
     (key.0 >> 64) as u64
 }
 
 impl Index {
     pub(crate) fn insert(&mut self, number: u64, generation: &Generation) {
         // The keys come in their order, and so do their first halves.
-        let parts: Vec<u64> = generation.keys().map(part).collect();
+        let prefixes: Vec<u64> = generation.keys().map(prefix).collect();
         self.remove(number);
-        self.keys += parts.len();
+        self.keys += prefixes.len();
         let newest = generation.newest();
-        self.segments.insert(number, Segment { parts, newest });
+        self.segments.insert(number, Segment { prefixes, newest });
     }
 
     pub(crate) fn remove(&mut self, number: u64) {
         let removed = self.segments.remove(&number);
-        self.keys -= removed.map_or(0, |segment| segment.parts.len());
+        self.keys -= removed.map_or(0, |segment| segment.prefixes.len());
     }
 
     /// Removes all but the segments that a head counts.
-    pub(crate) fn keep(&mut self, counted: Range<u64>) {
+    pub(crate) fn retain(&mut self, counted: Range<u64>) {
         let numbers = self.segments.keys().copied();
         let others: Vec<u64> = numbers.filter(|n| !counted.contains(n)).collect();
         others.into_iter().for_each(|number| self.remove(number));
@@ -59,11 +59,12 @@
     }
 
     /// The segments that may hold the key, the newest first.
-    pub(crate) fn hits(&self, key: Digest) -> Vec<u64> {
-        let part = part(key);
+    pub(crate) fn candidates(&self, key: Digest) -> Vec<u64> {
+        let prefix = prefix(key);
         let newest_first = self.segments.iter().rev();
-        let hits = newest_first.filter(|(_, segment)| segment.parts.binary_search(&part).is_ok());
-        hits.map(|(number, _)| *number).collect()
+        let candidates =
+            newest_first.filter(|(_, segment)| segment.prefixes.binary_search(&prefix).is_ok());
+        candidates.map(|(number, _)| *number).collect()
     }
 
     /// The number of keys.
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -10,15 +10,15 @@
 use tokio::time::{Instant, timeout_at};
 use unit::{Digest, Instance, Outcome, Rate, Token};
 
-use crate::ask::{Ask, Verdict, Want, What};
 use crate::claim::{Claim, Claimed, End, Record};
+use crate::driver::{self, Driver};
 use crate::dump::Dump;
 use crate::error::{Error, Kind, Step};
 use crate::grant::Reply;
-use crate::head::{Path, shard_of};
-use crate::lane::{self, Lane};
+use crate::head::{ObjectKeys, shard_of};
 use crate::load::Layout;
 use crate::owner::owner;
+use crate::request::{Change, Operation, Request, Response};
 use crate::setting::Builder;
 use crate::shard::Shard;
 
@@ -27,10 +27,10 @@
 
 /// The part of the writes that is kept for sealing and deleting segments. Taken from the batches'
 /// part instead, each segment would hold up the claims of a whole batch.
-const CHORES: f64 = 0.1;
+const MAINTENANCE_SHARE: f64 = 0.1;
 
 /// Chores of one shard that may come together.
-const CHORE_BURST: u32 = 2;
+const MAINTENANCE_BURST: u32 = 2;
 
 /// A handle on the ledger; clones share it, and the last one stops its work when dropped.
 #[derive(Clone)]
@@ -39,7 +39,7 @@
 }
 
 struct Inner {
-    lanes: Vec<Arc<Lane>>,
+    drivers: Vec<Arc<Driver>>,
     tasks: Vec<JoinHandle<()>>,
     owner: Option<Instance>,
     timeout: Duration,
@@ -59,35 +59,35 @@
 
     pub(crate) fn open(builder: Builder) -> Ledger {
         let layout = Arc::new(Layout::new(&builder.prefix, builder.shards));
-        let share = builder.writes.per_second() / f64::from(builder.shards);
+        let rate = builder.writes.per_second() / f64::from(builder.shards);
         let burst = (BURST / u32::from(builder.shards)).max(1);
-        let lane = |number: u16| {
-            let bucket = Bucket::new(Rate::of(share * (1.0 - CHORES)), burst);
-            let chores = Bucket::new(Rate::of(share * CHORES), CHORE_BURST);
-            let shard = Shard::new(builder.limit, bucket, chores);
-            Arc::new_cyclic(|me| Lane {
+        let driver = |number: u16| {
+            let bucket = Bucket::new(Rate::of(rate * (1.0 - MAINTENANCE_SHARE)), burst);
+            let maintenance = Bucket::new(Rate::of(rate * MAINTENANCE_SHARE), MAINTENANCE_BURST);
+            let shard = Shard::new(builder.limit, bucket, maintenance);
+            Arc::new_cyclic(|weak| Driver {
                 number,
                 store: builder.store.clone(),
-                path: Path::new(&builder.prefix, number),
+                object_keys: ObjectKeys::new(&builder.prefix, number),
                 layout: layout.clone(),
                 clock: builder.clock,
                 seed: builder.seed.wrapping_add(u64::from(number)),
                 shard: Mutex::new(shard),
                 wake: Notify::new(),
-                chore: Notify::new(),
+                maintenance: Notify::new(),
                 changed: watch::Sender::new(()),
-                me: me.clone(),
+                weak: weak.clone(),
             })
         };
-        let lanes: Vec<Arc<Lane>> = (0..builder.shards).map(lane).collect();
+        let drivers: Vec<Arc<Driver>> = (0..builder.shards).map(driver).collect();
         let mut tasks = Vec::new();
-        for lane in &lanes {
-            tasks.push(tokio::spawn(lane::run(lane.clone())));
-            tasks.push(tokio::spawn(lane::keep(lane.clone())));
+        for driver in &drivers {
+            tasks.push(tokio::spawn(driver::run(driver.clone())));
+            tasks.push(tokio::spawn(driver::maintain(driver.clone())));
         }
         Ledger {
             inner: Arc::new(Inner {
-                lanes,
+                drivers,
                 tasks,
                 owner: builder.owner,
                 timeout: builder.limit.timeout,
@@ -106,11 +106,11 @@
     /// token. [`Error::retry_after`] says when that is worth while.
     pub async fn claim(&self, claim: Claim) -> Result<Claimed, Error> {
         let until = claim.deadline;
-        match self.ask(Want::Claim(claim), until).await? {
-            Verdict::Claimed(claimed) => Ok(claimed),
-            Verdict::Failed(error) => Err(error),
+        match self.submit(Operation::Claim(claim), until).await? {
+            Response::Claimed(claimed) => Ok(claimed),
+            Response::Failed(error) => Err(error),
             // A claim is never answered with a look's verdict.
-            Verdict::Found(_) => Ok(Claimed::Mismatch),
+            Response::Found(_) => Ok(Claimed::Mismatch),
         }
     }
 
@@ -121,11 +121,11 @@
     /// When the store gives no answer in time.
     pub async fn find(&self, key: Digest) -> Result<Option<Record>, Error> {
         let until = Instant::now() + self.inner.timeout;
-        match self.ask(Want::Look(key), until).await? {
-            Verdict::Found(record) => Ok(record),
-            Verdict::Failed(error) => Err(error),
+        match self.submit(Operation::Find(key), until).await? {
+            Response::Found(record) => Ok(record),
+            Response::Failed(error) => Err(error),
             // A look is never answered with a claim's verdict.
-            Verdict::Claimed(_) => Ok(None),
+            Response::Claimed(_) => Ok(None),
         }
     }
 
@@ -139,11 +139,11 @@
     /// When too many ends wait already, or the ledger closes.
     pub async fn end(&self, end: End) -> Result<(), Error> {
         let key = end.key;
-        let what = match end.outcome {
-            Outcome::NotRun => What::Free(key, end.token),
-            Outcome::Ran | Outcome::Unknown | Outcome::AlreadyRun => What::End(end),
+        let change = match end.outcome {
+            Outcome::NotRun => Change::Release(key, end.token),
+            Outcome::Ran | Outcome::Unknown | Outcome::AlreadyRun => Change::End(end),
         };
-        self.note(key, what).await
+        self.record(key, change).await
     }
 
     /// Frees the key of a claim whose request certainly never ran.
@@ -152,7 +152,7 @@
     ///
     /// As [`Ledger::end`].
     pub async fn release(&self, key: Digest, token: Token) -> Result<(), Error> {
-        self.note(key, What::Free(key, token)).await
+        self.record(key, Change::Release(key, token)).await
     }
 
     /// Waits until an end or a release of this try is reported here, or seen in the store.
@@ -160,17 +160,17 @@
     /// Answers the record as it is then: `None` when the key has become free, or at `until`. Another
     /// process's end is seen when this process next loads the head.
     pub async fn wait(&self, key: Digest, token: Token, until: Instant) -> Option<Record> {
-        let lane = self.lane(key);
-        let mut changed = lane.changed.subscribe();
+        let driver = self.driver(key);
+        let mut changed = driver.changed.subscribe();
         loop {
-            let (over, peek) = {
-                let shard = lane.shard.lock();
-                (shard.is_over(key, token), shard.peek(key))
+            let (finished, peek) = {
+                let shard = driver.shard.lock();
+                (shard.is_finished(key, token), shard.peek(key))
             };
-            if over && peek.is_some() {
+            if finished && peek.is_some() {
                 return peek;
             }
-            if over {
+            if finished {
                 // Its claim lies in a sealed segment, or it was released.
                 return timeout_at(until, self.find(key)).await.ok()?.ok()?;
             }
@@ -182,9 +182,9 @@
     ///
     /// Releases of claims that were given up have nobody else who waits for them.
     pub async fn flush(&self, until: Instant) -> bool {
-        for lane in &self.inner.lanes {
-            let mut changed = lane.changed.subscribe();
-            while !lane.shard.lock().is_settled() {
+        for driver in &self.inner.drivers {
+            let mut changed = driver.changed.subscribe();
+            while !driver.shard.lock().is_flushed() {
                 if timeout_at(until, changed.changed()).await.is_err() {
                     return false;
                 }
@@ -195,71 +195,71 @@
 
     /// The instance that should be asked for a key, among the live ones: a hint.
     pub fn owner<'a>(&self, key: Digest, instances: &'a [Instance]) -> Option<&'a Instance> {
-        owner(self.lane(key).number, instances)
+        owner(self.driver(key).number, instances)
     }
 
     /// The state of this ledger.
     pub fn dump(&self) -> Dump {
         let now = Instant::now();
-        let lanes = self.inner.lanes.iter();
+        let drivers = self.inner.drivers.iter();
         Dump {
             owner: self.inner.owner.clone(),
-            shards: lanes
-                .map(|lane| lane.shard.lock().dump(lane.number, now))
+            shards: drivers
+                .map(|driver| driver.shard.lock().dump(driver.number, now))
                 .collect(),
         }
     }
 
-    async fn ask(&self, want: Want, until: Instant) -> Result<Verdict, Error> {
-        let (key, step) = (want.key(), want.step());
-        let lane = self.lane(key);
+    async fn submit(&self, operation: Operation, until: Instant) -> Result<Response, Error> {
+        let (key, step) = (operation.key(), operation.step());
+        let driver = self.driver(key);
         let now = Instant::now();
         let until = until.min(now + self.inner.timeout);
         let (reply, mut answer) = oneshot::channel();
-        let ask = Ask {
-            want,
+        let request = Request {
+            operation,
             reply,
-            tried: false,
-            probed: None,
+            maybe_written: false,
+            probe: None,
         };
-        let offered = lane.shard.lock().offer(ask, now);
-        offered.map_err(|kind| lane.error(step, kind))?;
-        lane.wake.notify_one();
+        let enqueued = driver.shard.lock().enqueue(request, now);
+        enqueued.map_err(|kind| driver.error(step, kind))?;
+        driver.wake.notify_one();
         match timeout_at(until, &mut answer).await {
-            Ok(Ok(reply)) => return Ok(open(reply)),
-            Ok(Err(_)) => return Err(lane.error(step, Kind::Closed)),
+            Ok(Ok(reply)) => return Ok(accept(reply)),
+            Ok(Err(_)) => return Err(driver.error(step, Kind::Closed)),
             Err(_) => {}
         }
         // A grant can arrive at the last moment. Once the channel is closed none can, and one that
         // comes too late is released by whoever fails to send it.
         answer.close();
         match answer.try_recv() {
-            Ok(reply) => Ok(open(reply)),
-            Err(_) => Err(lane.error(step, Kind::TimedOut)),
+            Ok(reply) => Ok(accept(reply)),
+            Err(_) => Err(driver.error(step, Kind::TimedOut)),
         }
     }
 
-    async fn note(&self, key: Digest, what: What) -> Result<(), Error> {
-        let lane = self.lane(key);
+    async fn record(&self, key: Digest, change: Change) -> Result<(), Error> {
+        let driver = self.driver(key);
         let (reply, written) = oneshot::channel();
-        let noted = lane.note(what, Some(reply));
-        noted.map_err(|kind| lane.error(Step::End, kind))?;
-        let closed = |_| lane.error(Step::End, Kind::Closed);
+        let queued = driver.push_update(change, Some(reply));
+        queued.map_err(|kind| driver.error(Step::End, kind))?;
+        let closed = |_| driver.error(Step::End, Kind::Closed);
         written.await.map_err(closed)
     }
 
-    fn lane(&self, key: Digest) -> &Arc<Lane> {
-        let shards = u16::try_from(self.inner.lanes.len()).unwrap_or(u16::MAX);
-        &self.inner.lanes[usize::from(shard_of(key, shards))]
+    fn driver(&self, key: Digest) -> &Arc<Driver> {
+        let shards = u16::try_from(self.inner.drivers.len()).unwrap_or(u16::MAX);
+        &self.inner.drivers[usize::from(shard_of(key, shards))]
     }
 }
 
-fn open(reply: Reply) -> Verdict {
+fn accept(reply: Reply) -> Response {
     match reply {
         Reply::Granted(grant) => {
-            grant.take();
-            Verdict::Claimed(Claimed::Granted)
+            grant.accept();
+            Response::Claimed(Claimed::Granted)
         }
-        Reply::Other(verdict) => verdict,
+        Reply::Other(response) => response,
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -38,21 +38,21 @@
 //! # }
 //! ```
 
-mod ask;
 mod build;
 mod claim;
+mod driver;
 mod dump;
 mod error;
 mod grant;
 mod head;
 mod index;
-mod lane;
 mod ledger;
 mod load;
 pub mod message;
 mod owner;
 mod peek;
 mod recent;
+mod request;
 mod setting;
 mod shard;
 mod slot;
--- a/crates/ledger/src/load.rs
+++ b/crates/ledger/src/load.rs
@@ -5,13 +5,13 @@
 use tokio::sync::OnceCell;
 use unit::{Digest, Version};
 
+use crate::driver::Driver;
 use crate::error::Kind;
-use crate::head::{Head, layout_key, parse_segment};
-use crate::lane::Lane;
-use crate::slot::{Generation, Piece};
+use crate::head::{Head, decode_segment, layout_key};
+use crate::slot::{Event, Generation};
 
 /// Segments that are read at the same time; a bound for memory and for the platform's rate.
-const READERS: usize = 16;
+const CONCURRENT_READS: usize = 16;
 
 /// The number of shards, as the store has it.
 ///
@@ -33,15 +33,15 @@
     }
 
     async fn check(&self, store: &Store) -> Result<(), Kind> {
-        let checked = self.checked.get_or_try_init(|| self.compare(store));
+        let checked = self.checked.get_or_try_init(|| self.verify(store));
         checked.await.copied()
     }
 
-    async fn compare(&self, store: &Store) -> Result<(), Kind> {
+    async fn verify(&self, store: &Store) -> Result<(), Kind> {
         let found = store.get(&self.key).await.map_err(Kind::Store)?;
         let object = match found {
             Some(object) => Some(object),
-            None => self.lay_out(store).await.map_err(Kind::Store)?,
+            None => self.write_layout(store).await.map_err(Kind::Store)?,
         };
         let garbled = || Kind::Garbled(self.key.clone());
         let object = object.ok_or_else(garbled)?;
@@ -54,7 +54,7 @@
     }
 
     /// Writes our number, unless another daemon is faster, and reads back what stands.
-    async fn lay_out(&self, store: &Store) -> Result<Option<Object>, Error> {
+    async fn write_layout(&self, store: &Store) -> Result<Option<Object>, Error> {
         let mine = self.shards.to_string();
         match store.put(&self.key, mine.into(), Condition::Absent).await {
             Err(error) if !error.is_conflict() && !error.may_have_written() => Err(error),
@@ -64,42 +64,42 @@
 }
 
 /// Reads the head, and the keys of the segments that the index lacks.
-pub(crate) async fn head(lane: &Lane) -> Result<(Head, Option<Version>), Kind> {
-    lane.layout.check(&lane.store).await?;
-    let key = lane.path.head();
-    let object = lane.store.get(&key).await.map_err(Kind::Store)?;
+pub(crate) async fn head(driver: &Driver) -> Result<(Head, Option<Version>), Kind> {
+    driver.layout.check(&driver.store).await?;
+    let key = driver.object_keys.head();
+    let object = driver.store.get(&key).await.map_err(Kind::Store)?;
     let Some(object) = object else {
         return Ok((Head::empty(), None));
     };
     let head = Head::decode(&object.value).ok_or(Kind::Garbled(key))?;
-    let missing = lane.shard.lock().missing(&head);
+    let missing = driver.shard.lock().missing(&head);
     stream::iter(missing.into_iter().map(Ok))
-        .try_for_each_concurrent(READERS, |number| index(lane, number))
+        .try_for_each_concurrent(CONCURRENT_READS, |number| index_segment(driver, number))
         .await?;
     Ok((head, Some(object.version)))
 }
 
-async fn index(lane: &Lane, number: u64) -> Result<(), Kind> {
+async fn index_segment(driver: &Driver, number: u64) -> Result<(), Kind> {
     // A segment that the head counts and the store lacks was deleted by another owner since we
     // read the head. The load fails, and the next one reads a newer head.
-    let missing = || Kind::Store(gone(lane, number));
-    let generation = segment(lane, number).await?.ok_or_else(missing)?;
-    lane.shard.lock().index.insert(number, &generation);
+    let missing = || Kind::Store(missing_segment(driver, number));
+    let generation = read_segment(driver, number).await?.ok_or_else(missing)?;
+    driver.shard.lock().index.insert(number, &generation);
     Ok(())
 }
 
-fn gone(lane: &Lane, number: u64) -> store::Error {
-    let key = lane.path.segment(number);
+fn missing_segment(driver: &Driver, number: u64) -> store::Error {
+    let key = driver.object_keys.segment(number);
     let kind = store::Kind::Garbled(format!("{key} is missing"));
     store::Error::new(store::Step::Get, "store", kind)
 }
 
-async fn segment(lane: &Lane, number: u64) -> Result<Option<Generation>, Kind> {
-    let key = lane.path.segment(number);
-    let Some(object) = lane.store.get(&key).await.map_err(Kind::Store)? else {
+async fn read_segment(driver: &Driver, number: u64) -> Result<Option<Generation>, Kind> {
+    let key = driver.object_keys.segment(number);
+    let Some(object) = driver.store.get(&key).await.map_err(Kind::Store)? else {
         return Ok(None);
     };
-    let generation = parse_segment(&object.value);
+    let generation = decode_segment(&object.value);
     generation.map(Some).ok_or(Kind::Garbled(key))
 }
 
@@ -107,23 +107,23 @@
 ///
 /// Answers `None` when a segment is gone, and has the head loaded anew: either the retention of
 /// another owner has dropped it, or the load will fail.
-pub(crate) async fn pieces(
-    lane: &Lane,
+pub(crate) async fn events(
+    driver: &Driver,
     key: Digest,
     numbers: &[u64],
-) -> Result<Option<Vec<Piece>>, Kind> {
-    let mut pieces = Vec::new();
+) -> Result<Option<Vec<Event>>, Kind> {
+    let mut events = Vec::new();
     for number in numbers {
-        let Some(generation) = segment(lane, *number).await? else {
-            let mut shard = lane.shard.lock();
+        let Some(generation) = read_segment(driver, *number).await? else {
+            let mut shard = driver.shard.lock();
             shard.index.remove(*number);
-            shard.reload = true;
+            shard.needs_load = true;
             return Ok(None);
         };
-        pieces.extend(generation.piece(key));
-        if let Some(Piece::Claim(_)) = pieces.last() {
+        events.extend(generation.event(key));
+        if let Some(Event::Claim(_)) = events.last() {
             break;
         }
     }
-    Ok(Some(pieces))
+    Ok(Some(events))
 }
--- a/crates/ledger/src/recent.rs
+++ b/crates/ledger/src/recent.rs
@@ -10,33 +10,33 @@
 use tokio::time::Instant;
 use unit::{Digest, Token};
 
-use crate::ask::What;
 use crate::claim::{Claim, Moment, Record};
 use crate::head::Head;
-use crate::slot::{Generation, Piece, fold};
+use crate::request::Change;
+use crate::slot::{Event, Generation, fold};
 
 /// How long a write is remembered.
-pub(crate) const KEPT: Duration = Duration::from_secs(60);
+pub(crate) const WINDOW: Duration = Duration::from_secs(60);
 
 /// Most writes that are remembered, the last ones.
-const MOST: usize = 20_000;
+const MAX_WRITES: usize = 20_000;
 
 /// One part of a batch that the store has confirmed.
 #[derive(Debug, Clone)]
 pub(crate) enum Written {
     Claim(Claim, Moment),
-    Note(What, Moment),
+    Change(Change, Moment),
 }
 
 /// Most heads of former eras that are kept until the store holds again what they held.
-const FORMERS: usize = 3;
+const MAX_SNAPSHOTS: usize = 3;
 
 /// A head as it was known when the store came back from an older copy.
 #[derive(Debug)]
-pub(crate) struct Former {
+pub(crate) struct Snapshot {
     pub(crate) head: Head,
     /// Claims in it that were being written; they are asked for again, or given up.
-    pub(crate) open: Vec<Token>,
+    pub(crate) unconfirmed: Vec<Token>,
 }
 
 /// The writes of the last seconds, in their order.
@@ -44,7 +44,7 @@
 pub(crate) struct Recent {
     writes: VecDeque<(Instant, Written)>,
     /// The last one first.
-    formers: VecDeque<Former>,
+    snapshots: VecDeque<Snapshot>,
     /// The store may have lost them.
     is_pending: bool,
 }
@@ -67,20 +67,22 @@
     }
 
     fn prune(&mut self, now: Instant) {
-        let is_old = |at: Instant| now.saturating_duration_since(at) > KEPT;
-        while self.writes.len() >= MOST || self.writes.front().is_some_and(|(at, _)| is_old(*at)) {
+        let is_old = |at: Instant| now.saturating_duration_since(at) > WINDOW;
+        while self.writes.len() >= MAX_WRITES
+            || self.writes.front().is_some_and(|(at, _)| is_old(*at))
+        {
             self.writes.pop_front();
         }
     }
 
     /// Notes that the store has come back from an older copy.
-    pub(crate) fn rolled_back(&mut self, now: Instant, former: Option<Former>) {
+    pub(crate) fn rolled_back(&mut self, now: Instant, snapshot: Option<Snapshot>) {
         self.prune(now);
-        if let Some(former) = former {
-            self.formers.push_front(former);
+        if let Some(snapshot) = snapshot {
+            self.snapshots.push_front(snapshot);
         }
-        self.formers.truncate(FORMERS);
-        self.is_pending = !self.writes.is_empty() || !self.formers.is_empty();
+        self.snapshots.truncate(MAX_SNAPSHOTS);
+        self.is_pending = !self.writes.is_empty() || !self.snapshots.is_empty();
     }
 
     pub(crate) fn is_pending(&self) -> bool {
@@ -90,24 +92,24 @@
     /// Notes that the store holds them again.
     pub(crate) fn confirm(&mut self) {
         self.is_pending = false;
-        self.formers.clear();
+        self.snapshots.clear();
     }
 
     /// Adds to `head` what it lacks of the writes, as long as it has fewer bytes than `most`.
-    pub(crate) fn replay(&self, head: &mut Head, most: usize) -> Replay {
+    pub(crate) fn replay(&self, head: &mut Head, max_bytes: usize) -> Replay {
         let mut replay = Replay::Nothing;
         for (_, written) in &self.writes {
-            if head.weight() >= most {
+            if head.size_bound() >= max_bytes {
                 return Replay::Part;
             }
-            if self.rewrite(head, written) {
+            if self.replay_write(head, written) {
                 replay = Replay::All;
             }
         }
-        for said in self.formers.iter().flat_map(Former::pieces) {
-            if restore(head, said) {
+        for event in self.snapshots.iter().flat_map(Snapshot::events) {
+            if replay_event(head, event) {
                 replay = Replay::All;
-                if head.weight() >= most {
+                if head.size_bound() >= max_bytes {
                     return Replay::Part;
                 }
             }
@@ -116,21 +118,21 @@
     }
 
     /// Adds a write to `head`; whether it lacked that.
-    fn rewrite(&self, head: &mut Head, written: &Written) -> bool {
+    fn replay_write(&self, head: &mut Head, written: &Written) -> bool {
         let key = written.key();
-        let before = head.new.piece(key);
+        let before = head.active.event(key);
         match written {
-            Written::Claim(claim, at) => self.claim(head, claim, *at),
-            Written::Note(What::End(end), _) => head.new.end(key, end.token, &end.ended()),
-            Written::Note(What::Free(_, token), at) => head.new.free(key, *token, *at),
+            Written::Claim(claim, at) => self.replay_claim(head, claim, *at),
+            Written::Change(Change::End(end), _) => head.active.end(key, end.token, &end.ended()),
+            Written::Change(Change::Release(_, token), at) => head.active.release(key, *token, *at),
         }
-        head.new.piece(key) != before
+        head.active.event(key) != before
     }
 
     /// Adds a claim, unless its key is held: by this one, or by one that came after it.
-    fn claim(&self, head: &mut Head, claim: &Claim, at: Moment) {
-        match fold(head.pieces(claim.key)) {
-            None => head.new.take(claim, at),
+    fn replay_claim(&self, head: &mut Head, claim: &Claim, at: Moment) {
+        match fold(head.events(claim.key)) {
+            None => head.active.claim(claim, at),
             Some(record) if self.has_written(claim.key, record.token) => {}
             Some(record) => log::error!(
                 "ledger: claim {} of key {} was lost, and the key granted to {}.",
@@ -147,45 +149,47 @@
     }
 }
 
-impl Former {
+impl Snapshot {
     /// What the head said of each key, but for claims that were being written.
-    fn pieces(&self) -> impl Iterator<Item = (Digest, Piece, Moment)> {
-        let of = |held: &Generation| {
-            let pieces = held
+    fn events(&self) -> impl Iterator<Item = (Digest, Event, Moment)> {
+        let of = |generation: &Generation| {
+            let events = generation
                 .keys()
-                .filter_map(|key| Some((key, held.piece(key)?, held.newest())));
-            pieces.collect::<Vec<_>>()
+                .filter_map(|key| Some((key, generation.event(key)?, generation.newest())));
+            events.collect::<Vec<_>>()
         };
-        let pieces = self.head.generations().flat_map(of);
-        let is_open = |piece: &Piece| {
-            let Piece::Claim(Record { token, .. }) = piece else {
+        let events = self.head.generations().flat_map(of);
+        let is_unconfirmed = |event: &Event| {
+            let Event::Claim(Record { token, .. }) = event else {
                 return false;
             };
-            self.open.contains(token)
+            self.unconfirmed.contains(token)
         };
-        pieces.filter(move |(_, piece, _)| !is_open(piece))
+        events.filter(move |(_, event, _)| !is_unconfirmed(event))
     }
 }
 
 /// Adds to `head` what was said of a key until `newest` in a former era; whether it lacked that.
-fn restore(head: &mut Head, (key, piece, newest): (Digest, Piece, Moment)) -> bool {
-    match (piece, fold(head.pieces(key))) {
-        (Piece::Claim(record), None) if !head.has_released(key, record.token) => {
-            head.new.insert(&record);
+fn replay_event(head: &mut Head, (key, event, newest): (Digest, Event, Moment)) -> bool {
+    match (event, fold(head.events(key))) {
+        (Event::Claim(record), None) if !head.has_released(key, record.token) => {
+            head.active.insert(&record);
         }
         (
-            Piece::Claim(Record {
+            Event::Claim(Record {
                 token,
                 end: Some(end),
                 ..
             })
-            | Piece::End(token, end),
-            Some(held),
-        ) if held.token == token && held.end.is_none() => {
-            head.new.end(key, token, &end);
+            | Event::End(token, end),
+            Some(current),
+        ) if current.token == token && current.end.is_none() => {
+            head.active.end(key, token, &end);
         }
-        (Piece::Free(tokens), Some(held)) if held.end.is_none() && tokens.contains(&held.token) => {
-            head.new.free(key, held.token, newest);
+        (Event::Release(tokens), Some(current))
+            if current.end.is_none() && tokens.contains(&current.token) =>
+        {
+            head.active.release(key, current.token, newest);
         }
         _ => return false,
     }
@@ -196,7 +200,7 @@
     fn key(&self) -> Digest {
         match self {
             Written::Claim(claim, _) => claim.key,
-            Written::Note(what, _) => what.key(),
+            Written::Change(change, _) => change.key(),
         }
     }
 
--- a/crates/ledger/src/ask.rs
+++ b/crates/ledger/src/request.rs
@@ -7,36 +7,36 @@
 use crate::claim::{Claim, Claimed, End, Record};
 use crate::error::{Error, Step};
 use crate::grant::Reply;
-use crate::slot::Piece;
+use crate::slot::Event;
 
 /// What somebody wants to know of a key.
 #[derive(Debug)]
-pub(crate) enum Want {
+pub(crate) enum Operation {
     /// To claim it.
     Claim(Claim),
     /// To read its record.
-    Look(Digest),
+    Find(Digest),
 }
 
-impl Want {
+impl Operation {
     pub(crate) fn key(&self) -> Digest {
         match self {
-            Want::Claim(claim) => claim.key,
-            Want::Look(key) => *key,
+            Operation::Claim(claim) => claim.key,
+            Operation::Find(key) => *key,
         }
     }
 
     pub(crate) fn step(&self) -> Step {
         match self {
-            Want::Claim(_) => Step::Claim,
-            Want::Look(_) => Step::Find,
+            Operation::Claim(_) => Step::Claim,
+            Operation::Find(_) => Step::Find,
         }
     }
 }
 
 /// What the shard answers.
 #[derive(Debug)]
-pub(crate) enum Verdict {
+pub(crate) enum Response {
     Claimed(Claimed),
     Found(Option<Record>),
     Failed(Error),
@@ -44,48 +44,48 @@
 
 /// Somebody who waits for a verdict.
 #[derive(Debug)]
-pub(crate) struct Ask {
-    pub(crate) want: Want,
+pub(crate) struct Request {
+    pub(crate) operation: Operation,
     pub(crate) reply: oneshot::Sender<Reply>,
     /// The claim was in a write that may have landed. Its token tells, when found in the store.
-    pub(crate) tried: bool,
-    pub(crate) probed: Option<Probed>,
+    pub(crate) maybe_written: bool,
+    pub(crate) probe: Option<Probe>,
 }
 
 /// What sealed segments say of a key.
 #[derive(Debug, Clone)]
-pub(crate) struct Probed {
-    pub(crate) numbers: Vec<u64>,
-    pub(crate) pieces: Vec<Piece>,
+pub(crate) struct Probe {
+    pub(crate) segments: Vec<u64>,
+    pub(crate) events: Vec<Event>,
 }
 
 /// An end or a release that is to be written.
 #[derive(Debug)]
-pub(crate) struct Note {
-    pub(crate) what: What,
+pub(crate) struct Update {
+    pub(crate) change: Change,
     pub(crate) reply: Option<oneshot::Sender<()>>,
     pub(crate) since: Instant,
 }
 
 /// What a note says.
 #[derive(Debug, Clone)]
-pub(crate) enum What {
+pub(crate) enum Change {
     End(End),
-    Free(Digest, Token),
+    Release(Digest, Token),
 }
 
-impl What {
+impl Change {
     pub(crate) fn key(&self) -> Digest {
         match self {
-            What::End(end) => end.key,
-            What::Free(key, _) => *key,
+            Change::End(end) => end.key,
+            Change::Release(key, _) => *key,
         }
     }
 
     pub(crate) fn token(&self) -> Token {
         match self {
-            What::End(end) => end.token,
-            What::Free(_, token) => *token,
+            Change::End(end) => end.token,
+            Change::Release(_, token) => *token,
         }
     }
 }
--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -16,72 +16,74 @@
 use tokio::time::Instant;
 use unit::{Era, Version};
 
-use crate::ask::{Ask, Note, Verdict, Want};
 use crate::claim::{Claim, Claimed, Moment};
 use crate::dump::Count;
 use crate::error::Kind;
 use crate::head::Head;
 use crate::index::Index;
-use crate::recent::{self, Former, Recent, Written};
+use crate::recent::{self, Recent, Snapshot, Written};
+use crate::request::{Operation, Request, Response, Update};
 use crate::setting::Limit;
 use crate::slot::Generation;
 
 /// The state of one shard.
 pub(crate) struct Shard {
     pub(crate) limit: Limit,
-    pub(crate) known: Option<Known>,
+    pub(crate) cached: Option<CachedHead>,
     pub(crate) index: Index,
     pub(crate) bucket: Bucket,
     /// The part of the writes that is kept for chores.
-    pub(crate) chores: Bucket,
-    pub(crate) queue: VecDeque<Ask>,
-    pub(crate) notes: Vec<Note>,
-    pub(crate) flight: Option<Flight>,
+    pub(crate) maintenance_bucket: Bucket,
+    pub(crate) queue: VecDeque<Request>,
+    pub(crate) updates: Vec<Update>,
+    pub(crate) in_flight: Option<Batch>,
     pub(crate) recent: Recent,
     /// The newest era of the store that is known.
     era: Option<Era>,
     pub(crate) count: Count,
     /// The head must be loaded before the next batch.
-    pub(crate) reload: bool,
+    pub(crate) needs_load: bool,
     /// The segment that was written for the old generation of the head.
     pub(crate) sealed: Option<u64>,
     /// Since when the store has failed.
-    pub(crate) failing: Option<Instant>,
-    pause: Option<Instant>,
-    worked: Option<Instant>,
+    pub(crate) failing_since: Option<Instant>,
+    paused_until: Option<Instant>,
+    last_active: Option<Instant>,
 }
 
 /// What the shard knows of its head.
-pub(crate) struct Known {
+pub(crate) struct CachedHead {
     pub(crate) head: Head,
     pub(crate) version: Option<Version>,
     /// When the store last confirmed that the head is of this version.
-    pub(crate) confirmed: Instant,
+    pub(crate) confirmed_at: Instant,
     /// `head.first`, as the store has it.
-    pub(crate) first: u64,
+    pub(crate) stored_first: u64,
     /// The number of the old generation, as the store has it.
-    pub(crate) frozen: Option<u64>,
+    pub(crate) stored_frozen: Option<u64>,
 }
 
 /// A batch that is being written.
-pub(crate) struct Flight {
-    pub(crate) asks: Vec<Ask>,
-    pub(crate) notes: Vec<Note>,
+pub(crate) struct Batch {
+    pub(crate) requests: Vec<Request>,
+    pub(crate) updates: Vec<Update>,
     pub(crate) bytes: Bytes,
-    pub(crate) when: Condition,
+    pub(crate) condition: Condition,
     /// An answer was lost, so that the write may land at any time.
-    pub(crate) open: bool,
+    pub(crate) may_land: bool,
     pub(crate) moment: Moment,
     /// It holds all that an older copy of the store has lost.
-    pub(crate) replays: bool,
+    pub(crate) completes_replay: bool,
 }
 
-impl Flight {
+impl Batch {
     fn claims(&self) -> impl Iterator<Item = &Claim> {
-        self.asks.iter().filter_map(|ask| match &ask.want {
-            Want::Claim(claim) => Some(claim),
-            _ => None,
-        })
+        self.requests
+            .iter()
+            .filter_map(|request| match &request.operation {
+                Operation::Claim(claim) => Some(claim),
+                _ => None,
+            })
     }
 }
 
@@ -93,15 +95,15 @@
 }
 
 /// A verdict and who waits for it.
-pub(crate) type Answer = (Ask, Verdict);
+pub(crate) type Answer = (Request, Response);
 
 /// What a turn came to.
 pub(crate) struct Turn {
     pub(crate) next: Next,
     pub(crate) answers: Vec<Answer>,
-    pub(crate) probes: Vec<(Ask, Vec<u64>)>,
+    pub(crate) probes: Vec<(Request, Vec<u64>)>,
     /// Claims that were released elsewhere before they were written.
-    pub(crate) released: Vec<Ask>,
+    pub(crate) released: Vec<Request>,
 }
 
 /// A frozen generation on its way into its segment.
@@ -113,43 +115,43 @@
 }
 
 /// Work that is not urgent.
-pub(crate) enum Chore {
+pub(crate) enum Maintenance {
     Seal(Seal),
-    Sweep(u64),
+    Delete(u64),
     Wait(Option<Instant>),
 }
 
 impl Shard {
-    pub(crate) fn new(limit: Limit, bucket: Bucket, chores: Bucket) -> Shard {
+    pub(crate) fn new(limit: Limit, bucket: Bucket, maintenance_bucket: Bucket) -> Shard {
         Shard {
             limit,
-            known: None,
+            cached: None,
             index: Index::default(),
             bucket,
-            chores,
+            maintenance_bucket,
             queue: VecDeque::new(),
-            notes: Vec::new(),
-            flight: None,
+            updates: Vec::new(),
+            in_flight: None,
             recent: Recent::default(),
             era: None,
             count: Count::default(),
-            reload: true,
+            needs_load: true,
             sealed: None,
-            failing: None,
-            pause: None,
-            worked: None,
+            failing_since: None,
+            paused_until: None,
+            last_active: None,
         }
     }
 
     /// Takes an ask in, or refuses it at once.
-    pub(crate) fn offer(&mut self, ask: Ask, now: Instant) -> Result<(), Kind> {
+    pub(crate) fn enqueue(&mut self, request: Request, now: Instant) -> Result<(), Kind> {
         let refused = self.refusal(now);
         if let Some(kind) = refused {
             self.count.refused += 1;
             return Err(kind);
         }
-        self.worked = Some(now);
-        self.queue.push_back(ask);
+        self.last_active = Some(now);
+        self.queue.push_back(request);
         Ok(())
     }
 
@@ -166,25 +168,27 @@
     /// Whether the store has failed for longer than a claim would wait.
     pub(crate) fn is_down(&self, now: Instant) -> bool {
         let since = |since| now.saturating_duration_since(since);
-        self.failing
+        self.failing_since
             .is_some_and(|at| since(at) >= self.limit.timeout)
     }
 
     /// Takes an end or a release in, to be written with a later batch.
-    pub(crate) fn note(&mut self, note: Note) -> Result<(), Kind> {
+    pub(crate) fn push_update(&mut self, update: Update) -> Result<(), Kind> {
         // A release of a claim that was given up has no one to refuse it to, and the queue bounds
         // how many there can be.
-        if note.reply.is_some() && self.notes.len() >= self.limit.queue {
+        if update.reply.is_some() && self.updates.len() >= self.limit.queue {
             return Err(Kind::Full);
         }
-        self.worked = Some(note.since);
-        self.notes.push(note);
+        self.last_active = Some(update.since);
+        self.updates.push(update);
         Ok(())
     }
 
     /// When it is worth asking again.
     pub(crate) fn retry_after(&self, now: Instant) -> Duration {
-        let pause = self.pause.map(|until| until.saturating_duration_since(now));
+        let pause = self
+            .paused_until
+            .map(|until| until.saturating_duration_since(now));
         pause
             .unwrap_or_default()
             .max(Duration::from_millis(100))
@@ -193,7 +197,7 @@
 
     /// Keys in the head and in the segments.
     pub(crate) fn keys(&self) -> usize {
-        let head = self.known.as_ref().map_or(0, |known| known.head.len());
+        let head = self.cached.as_ref().map_or(0, |cached| cached.head.len());
         self.index.len() + head
     }
 
@@ -210,30 +214,30 @@
     }
 
     fn decide(&mut self, now: Instant, moment: Moment, turn: &mut Turn) -> Next {
-        if let Some(until) = self.pause.filter(|until| *until > now) {
+        if let Some(until) = self.paused_until.filter(|until| *until > now) {
             return Next::Wait(Some(until));
         }
-        self.pause = None;
-        let works = !self.queue.is_empty() || !self.notes.is_empty();
-        let works = works || self.recent.is_pending();
-        if self.flight.is_none() && (self.reload || self.known.is_none()) {
-            let load = works || self.failing.is_some();
+        self.paused_until = None;
+        let has_work = !self.queue.is_empty() || !self.updates.is_empty();
+        let has_work = has_work || self.recent.is_pending();
+        if self.in_flight.is_none() && (self.needs_load || self.cached.is_none()) {
+            let load = has_work || self.failing_since.is_some();
             return if load { Next::Load } else { Next::Wait(None) };
         }
-        if self.flight.is_none() && !self.is_due(now) {
-            return Next::Wait(self.rest(now));
+        if self.in_flight.is_none() && !self.is_due(now) {
+            return Next::Wait(self.idle_wait(now));
         }
         if let Err(wait) = self.bucket.ready(now) {
-            self.pause = Some(now + wait);
-            return Next::Wait(self.pause);
+            self.paused_until = Some(now + wait);
+            return Next::Wait(self.paused_until);
         }
-        if self.flight.is_none() {
-            self.flight = self.build(now, moment, turn);
+        if self.in_flight.is_none() {
+            self.in_flight = self.build_batch(now, moment, turn);
         }
-        let Some(flight) = &self.flight else {
-            return self.after_empty(now);
+        let Some(batch) = &self.in_flight else {
+            return self.after_empty_batch(now);
         };
-        let next = Next::Write(flight.bytes.clone(), flight.when);
+        let next = Next::Write(batch.bytes.clone(), batch.condition);
         // The bucket was found ready under the same lock.
         let _ = self.bucket.take(now);
         self.count.writes += 1;
@@ -242,89 +246,93 @@
 
     /// Whether there is an ask, or a note that has waited long enough for one.
     fn is_due(&self, now: Instant) -> bool {
-        let oldest = self.notes.first().map(|note| note.since);
+        let oldest = self.updates.first().map(|update| update.since);
         let due = oldest.is_some_and(|since| now >= since + self.limit.linger);
         let due = due || self.recent.is_pending();
-        due || !self.queue.is_empty() || self.notes.len() >= self.limit.batch
+        due || !self.queue.is_empty() || self.updates.len() >= self.limit.batch
     }
 
     /// How long to rest without work; a shard that rests for long forgets its state.
     ///
     /// Without that a daemon that owned many shards in turn would hold the keys of all of them.
-    fn rest(&mut self, now: Instant) -> Option<Instant> {
-        if let Some(note) = self.notes.first() {
-            return Some(note.since + self.limit.linger);
+    fn idle_wait(&mut self, now: Instant) -> Option<Instant> {
+        if let Some(update) = self.updates.first() {
+            return Some(update.since + self.limit.linger);
         }
-        let until = self.worked? + self.limit.idle_timeout;
+        let until = self.last_active? + self.limit.idle_timeout;
         if until > now {
             return Some(until);
         }
-        self.known = None;
+        self.cached = None;
         self.index = Index::default();
-        self.reload = true;
-        self.worked = None;
+        self.needs_load = true;
+        self.last_active = None;
         None
     }
 
-    fn after_empty(&mut self, now: Instant) -> Next {
-        if self.reload {
+    fn after_empty_batch(&mut self, now: Instant) -> Next {
+        if self.needs_load {
             return Next::Load;
         }
-        if self.queue.is_empty() && self.notes.is_empty() {
-            return Next::Wait(self.rest(now));
+        if self.queue.is_empty() && self.updates.is_empty() {
+            return Next::Wait(self.idle_wait(now));
         }
         // The head is too heavy for more until its old generation is sealed.
-        self.pause = Some(now + self.limit.linger);
-        Next::Wait(self.pause)
+        self.paused_until = Some(now + self.limit.linger);
+        Next::Wait(self.paused_until)
     }
 
     /// The store has confirmed the batch.
-    pub(crate) fn written(&mut self, now: Instant, version: Version) -> (Vec<Answer>, Vec<Note>) {
-        self.failing = None;
-        let Some(flight) = self.flight.take() else {
+    pub(crate) fn written(&mut self, now: Instant, version: Version) -> (Vec<Answer>, Vec<Update>) {
+        self.failing_since = None;
+        let Some(batch) = self.in_flight.take() else {
             return (Vec::new(), Vec::new());
         };
-        if let Some(known) = &mut self.known {
-            known.version = Some(version);
-            known.confirm(now);
+        if let Some(cached) = &mut self.cached {
+            cached.version = Some(version);
+            cached.confirm(now);
         }
-        self.count.claims += flight.asks.len() as u64;
-        if flight.replays {
+        self.count.claims += batch.requests.len() as u64;
+        if batch.completes_replay {
             self.recent.confirm();
         }
-        self.remember(now, &flight);
-        let grant = |ask: Ask| (ask, Verdict::Claimed(Claimed::Granted));
-        (flight.asks.into_iter().map(grant).collect(), flight.notes)
+        self.record_writes(now, &batch);
+        let grant = |request: Request| (request, Response::Claimed(Claimed::Granted));
+        (
+            batch.requests.into_iter().map(grant).collect(),
+            batch.updates,
+        )
     }
 
-    fn remember(&mut self, now: Instant, flight: &Flight) {
-        for claim in flight.claims() {
-            let written = Written::Claim(claim.clone(), flight.moment);
+    fn record_writes(&mut self, now: Instant, batch: &Batch) {
+        for claim in batch.claims() {
+            let written = Written::Claim(claim.clone(), batch.moment);
             self.recent.push(now, written);
         }
-        for note in &flight.notes {
-            let written = Written::Note(note.what.clone(), flight.moment);
+        for update in &batch.updates {
+            let written = Written::Change(update.change.clone(), batch.moment);
             self.recent.push(now, written);
         }
     }
 
     /// Notes the era of the store. In one after the first the head is loaded again, and what it lacks
     /// of the last writes is written again.
-    pub(crate) fn enter(&mut self, era: Option<Era>, now: Instant) {
+    pub(crate) fn enter_era(&mut self, era: Option<Era>, now: Instant) {
         if self.era.is_some() && era > self.era {
-            let lately = |known: &&Known| known.confirmed + recent::KEPT > now;
-            let known = self.known.as_ref().filter(lately);
-            let former = known.map(|known| Former {
-                head: known.head.clone(),
-                open: self
-                    .flight
+            let recently_confirmed =
+                |cached: &&CachedHead| cached.confirmed_at + recent::WINDOW > now;
+            let cached = self.cached.as_ref().filter(recently_confirmed);
+            let snapshot = cached.map(|cached| Snapshot {
+                head: cached.head.clone(),
+                unconfirmed: self
+                    .in_flight
                     .iter()
-                    .flat_map(Flight::claims)
+                    .flat_map(Batch::claims)
                     .map(|claim| claim.token)
                     .collect(),
             });
-            self.recent.rolled_back(now, former);
-            self.reload = true;
+            self.recent.rolled_back(now, snapshot);
+            self.needs_load = true;
             self.sealed = None;
         }
         self.era = era;
@@ -332,47 +340,47 @@
 
     /// Another write came before the batch: somebody else's, or our own whose answer was lost.
     pub(crate) fn conflicted(&mut self) {
-        self.failing = None;
+        self.failing_since = None;
         self.count.conflicts += 1;
-        self.unbuild(true);
+        self.requeue(true);
     }
 
     /// The batch was not written, or its answer was lost.
     pub(crate) fn failed(&mut self, now: Instant, pause: Duration, lost: bool) {
-        self.failing.get_or_insert(now);
-        self.pause = Some(now + pause);
+        self.failing_since.get_or_insert(now);
+        self.paused_until = Some(now + pause);
         if lost {
             self.count.lost += 1;
         }
-        let open = match &mut self.flight {
-            Some(flight) => {
-                flight.open |= lost;
-                flight.open
+        let may_land = match &mut self.in_flight {
+            Some(batch) => {
+                batch.may_land |= lost;
+                batch.may_land
             }
             None => false,
         };
-        if !open {
-            self.unbuild(false);
+        if !may_land {
+            self.requeue(false);
         }
     }
 
     /// Puts the batch back into the queue, and the state back to what the store will say.
-    fn unbuild(&mut self, tried: bool) {
-        self.reload = true;
-        let Some(flight) = self.flight.take() else {
+    fn requeue(&mut self, maybe_written: bool) {
+        self.needs_load = true;
+        let Some(batch) = self.in_flight.take() else {
             return;
         };
-        for mut ask in flight.asks.into_iter().rev() {
-            ask.tried |= tried;
-            self.queue.push_front(ask);
+        for mut request in batch.requests.into_iter().rev() {
+            request.maybe_written |= maybe_written;
+            self.queue.push_front(request);
         }
-        self.notes.splice(0..0, flight.notes);
+        self.updates.splice(0..0, batch.updates);
     }
 
     /// Loading the head or a segment has failed.
     pub(crate) fn load_failed(&mut self, now: Instant, pause: Duration) {
-        self.failing.get_or_insert(now);
-        self.pause = Some(now + pause);
+        self.failing_since.get_or_insert(now);
+        self.paused_until = Some(now + pause);
     }
 
     /// The segments of a head that the index lacks.
@@ -383,47 +391,53 @@
 
     /// The head was loaded, and the index holds all of its segments.
     pub(crate) fn loaded(&mut self, now: Instant, head: Head, version: Option<Version>) {
-        self.failing = None;
-        self.reload = false;
+        self.failing_since = None;
+        self.needs_load = false;
         self.count.loads += 1;
-        self.index.keep(head.first..head.next);
+        self.index.retain(head.first..head.next);
         if self.sealed != Some(head.next) {
             self.sealed = None;
         }
-        let mut known = Known {
+        let mut cached = CachedHead {
             head,
             version,
-            confirmed: now,
-            first: 0,
-            frozen: None,
+            confirmed_at: now,
+            stored_first: 0,
+            stored_frozen: None,
         };
-        known.confirm(now);
-        self.known = Some(known);
+        cached.confirm(now);
+        self.cached = Some(cached);
     }
 
     /// The next chore that the confirmed head calls for.
-    pub(crate) fn chore(&mut self, now: Instant) -> Chore {
-        let known = self.known.as_ref().filter(|_| !self.reload);
-        let Some(known) = known else {
-            return Chore::Wait(None);
+    pub(crate) fn maintenance(&mut self, now: Instant) -> Maintenance {
+        let cached = self.cached.as_ref().filter(|_| !self.needs_load);
+        let Some(cached) = cached else {
+            return Maintenance::Wait(None);
         };
-        let seal = known.frozen.filter(|number| self.sealed != Some(*number));
-        let old = known.head.old.as_ref().and_then(crate::head::segment);
-        if let (Some(number), Some(bytes)) = (seal, old) {
+        let seal = cached
+            .stored_frozen
+            .filter(|number| self.sealed != Some(*number));
+        let frozen = cached
+            .head
+            .frozen
+            .as_ref()
+            .and_then(crate::head::encode_segment);
+        if let (Some(number), Some(bytes)) = (seal, frozen) {
             // Beyond the part of the chores on the credit of the batches: those would take each
             // write as it becomes free, and the head would grow until it holds no more claims.
-            if self.chores.take(now).is_err() {
+            if self.maintenance_bucket.take(now).is_err() {
                 self.bucket.charge(now);
             }
             let era = self.era;
-            return Chore::Seal(Seal { number, bytes, era });
+            return Maintenance::Seal(Seal { number, bytes, era });
         }
-        if known.head.swept >= known.first {
-            return Chore::Wait(None);
+        if cached.head.deleted >= cached.stored_first {
+            return Maintenance::Wait(None);
         }
-        match self.chores.take(now) {
-            Ok(()) => Chore::Sweep(known.head.swept),
-            Err(wait) => Chore::Wait(Some(now + wait)),
+        match self.maintenance_bucket.take(now) {
+            Ok(()) => Maintenance::Delete(cached.head.deleted),
+            Err(wait) => Maintenance::Wait(Some(now + wait)),
         }
     }
 
@@ -434,19 +448,19 @@
         }
     }
 
-    pub(crate) fn swept(&mut self, number: u64) {
-        if let Some(known) = &mut self.known {
-            known.head.swept = known.head.swept.max(number + 1);
+    pub(crate) fn deleted(&mut self, number: u64) {
+        if let Some(cached) = &mut self.cached {
+            cached.head.deleted = cached.head.deleted.max(number + 1);
         }
     }
 }
 
-impl Known {
+impl CachedHead {
     /// Notes what the store has, now that it has confirmed the head.
     fn confirm(&mut self, now: Instant) {
-        self.confirmed = now;
-        self.first = self.head.first;
-        let old: Option<&Generation> = self.head.old.as_ref();
-        self.frozen = old.map(|_| self.head.next);
+        self.confirmed_at = now;
+        self.stored_first = self.head.first;
+        let frozen: Option<&Generation> = self.head.frozen.as_ref();
+        self.stored_frozen = frozen.map(|_| self.head.next);
     }
 }
--- a/crates/ledger/src/slot.rs
+++ b/crates/ledger/src/slot.rs
@@ -8,53 +8,53 @@
 use crate::claim::{Claim, Ended, Moment, Record, body_part};
 
 /// 16 bytes as they are; a varint would take 19 for a random number.
-type Raw = [u8; 16];
+type IdBytes = [u8; 16];
 
 /// The place of a name in the table of its generation.
-type Name = u32;
+type NameIndex = u32;
 
 /// Released tokens that are kept of a key. Resends of one key that an entry gives up together, for
 /// a lost link to their owner, are mostly fewer.
-pub(crate) const FREED: usize = 4;
+pub(crate) const RELEASED_TOKENS: usize = 4;
 
 /// What one generation holds of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 enum Slot {
     /// The key was claimed in this generation.
-    Taken(Taken),
+    Claim(StoredClaim),
     /// A claim of an older generation has ended.
-    Ended(Raw, Finish),
+    End(IdBytes, StoredEnd),
     /// The claims of these tokens were released, the last one first.
     ///
     /// A release can be written twice when its first answer was lost. Several tokens are kept, so
     /// that such a late repetition does not push the newest release out and leave the key dead.
     /// And a release can overtake its claim, which waits at another owner: as long as its token is
     /// kept here, that claim is refused when it comes.
-    Freed([Raw; FREED]),
+    Release([IdBytes; RELEASED_TOKENS]),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-struct Taken {
+struct StoredClaim {
     body: u64,
-    token: Raw,
-    caller: Name,
-    entry: Name,
-    rule: Name,
+    token: IdBytes,
+    caller: NameIndex,
+    entry: NameIndex,
+    rule: NameIndex,
     at: Moment,
-    end: Option<Finish>,
+    end: Option<StoredEnd>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-struct Finish {
-    target: Option<Name>,
+struct StoredEnd {
+    target: Option<NameIndex>,
     at: Moment,
-    outcome: Code,
+    outcome: OutcomeCode,
     status: u16,
 }
 
 /// An outcome as one byte.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-enum Code {
+enum OutcomeCode {
     Ran,
     NotRun,
     Unknown,
@@ -63,43 +63,46 @@
 
 /// What a generation says of a key, free of its table of names.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Piece {
+pub(crate) enum Event {
     Claim(Record),
     End(Token, Ended),
-    Free([Token; FREED]),
+    Release([Token; RELEASED_TOKENS]),
 }
 
 /// Bytes that a slot takes at most, without its names.
-const SLOT_WEIGHT: usize = 84;
+const MAX_SLOT_BYTES: usize = 84;
 
 /// Bytes that a name takes besides its text.
-const NAME_WEIGHT: usize = 2;
+const NAME_OVERHEAD_BYTES: usize = 2;
 
 /// Claims, ends and releases between two rolls of a head. It becomes one sealed segment.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Generation {
     names: Vec<String>,
-    slots: BTreeMap<Raw, Slot>,
+    slots: BTreeMap<IdBytes, Slot>,
     newest: Moment,
     #[serde(skip)]
-    places: HashMap<String, Name>,
+    name_indices: HashMap<String, NameIndex>,
     #[serde(skip)]
-    weight: usize,
+    size_bound: usize,
 }
 
 impl Generation {
     /// Builds what is not stored; to be called after decoding.
-    pub(crate) fn restore(mut self) -> Generation {
-        let places = self.names.iter().zip(0..);
-        self.places = places.map(|(name, at)| (name.clone(), at)).collect();
-        let names = self.names.iter().map(|name| name.len() + NAME_WEIGHT);
-        self.weight = names.sum::<usize>() + self.slots.len() * SLOT_WEIGHT;
+    pub(crate) fn rebuild(mut self) -> Generation {
+        let name_indices = self.names.iter().zip(0..);
+        self.name_indices = name_indices.map(|(name, at)| (name.clone(), at)).collect();
+        let names = self
+            .names
+            .iter()
+            .map(|name| name.len() + NAME_OVERHEAD_BYTES);
+        self.size_bound = names.sum::<usize>() + self.slots.len() * MAX_SLOT_BYTES;
         self
     }
 
     /// An upper bound for the encoded size in bytes.
-    pub(crate) fn weight(&self) -> usize {
-        self.weight
+    pub(crate) fn size_bound(&self) -> usize {
+        self.size_bound
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -114,11 +117,11 @@
     pub(crate) fn keys(&self) -> impl Iterator<Item = Digest> {
         self.slots
             .keys()
-            .map(|raw| Digest(u128::from_be_bytes(*raw)))
+            .map(|bytes| Digest(u128::from_be_bytes(*bytes)))
     }
 
     /// Adds a claim; what the generation held of the key before is settled by then.
-    pub(crate) fn take(&mut self, claim: &Claim, at: Moment) {
+    pub(crate) fn claim(&mut self, claim: &Claim, at: Moment) {
         self.insert(&Record {
             key: claim.key,
             body: body_part(claim.body),
@@ -133,16 +136,16 @@
 
     /// Adds a claim as it stood in another generation, with its end.
     pub(crate) fn insert(&mut self, record: &Record) {
-        let taken = Taken {
+        let claim = StoredClaim {
             body: record.body,
             token: record.token.0.to_be_bytes(),
-            caller: self.name(record.caller.as_str()),
-            entry: self.name(record.entry.as_str()),
-            rule: self.name(&record.rule),
+            caller: self.intern(record.caller.as_str()),
+            entry: self.intern(record.entry.as_str()),
+            rule: self.intern(&record.rule),
             at: record.at,
             end: None,
         };
-        self.put(record.key, Slot::Taken(taken), record.at);
+        self.put(record.key, Slot::Claim(claim), record.at);
         if let Some(end) = &record.end {
             self.end(record.key, record.token, end);
         }
@@ -150,22 +153,22 @@
 
     /// Adds the end of the claim with this token.
     pub(crate) fn end(&mut self, key: Digest, token: Token, ended: &Ended) {
-        let raw = token.0.to_be_bytes();
-        let target = ended.target.as_ref().map(|name| self.name(name.as_str()));
-        let finish = Finish {
+        let bytes = token.0.to_be_bytes();
+        let target = ended.target.as_ref().map(|name| self.intern(name.as_str()));
+        let end = StoredEnd {
             target,
             at: ended.at,
-            outcome: code(ended.outcome),
+            outcome: encode_outcome(ended.outcome),
             status: ended.status,
         };
         let slot = match self.slots.get(&key.0.to_be_bytes()) {
-            Some(Slot::Taken(taken)) if taken.token == raw => Slot::Taken(Taken {
-                end: taken.end.or(Some(finish)),
-                ..*taken
+            Some(Slot::Claim(claim)) if claim.token == bytes => Slot::Claim(StoredClaim {
+                end: claim.end.or(Some(end)),
+                ..*claim
             }),
             // Another try has claimed the key since, or the end is recorded already.
-            Some(Slot::Taken(_) | Slot::Ended(..)) => return,
-            Some(Slot::Freed(..)) | None => Slot::Ended(raw, finish),
+            Some(Slot::Claim(_) | Slot::End(..)) => return,
+            Some(Slot::Release(..)) | None => Slot::End(bytes, end),
         };
         self.put(key, slot, ended.at);
     }
@@ -174,76 +177,76 @@
     ///
     /// The slot stays as a mark, since an older generation may hold an older claim of the key: to
     /// remove the slot would bring that claim back.
-    pub(crate) fn free(&mut self, key: Digest, token: Token, at: Moment) {
-        let raw = token.0.to_be_bytes();
+    pub(crate) fn release(&mut self, key: Digest, token: Token, at: Moment) {
+        let bytes = token.0.to_be_bytes();
         let slot = match self.slots.get(&key.0.to_be_bytes()) {
-            Some(Slot::Taken(taken)) if taken.token != raw || taken.end.is_some() => return,
-            Some(Slot::Ended(..)) => return,
-            Some(Slot::Freed(freed)) if freed.contains(&raw) => return,
-            Some(Slot::Freed(freed)) => {
-                let mut freed = *freed;
-                freed.rotate_right(1);
-                freed[0] = raw;
-                Slot::Freed(freed)
+            Some(Slot::Claim(claim)) if claim.token != bytes || claim.end.is_some() => return,
+            Some(Slot::End(..)) => return,
+            Some(Slot::Release(released)) if released.contains(&bytes) => return,
+            Some(Slot::Release(released)) => {
+                let mut released = *released;
+                released.rotate_right(1);
+                released[0] = bytes;
+                Slot::Release(released)
             }
-            Some(Slot::Taken(_)) | None => Slot::Freed([raw; FREED]),
+            Some(Slot::Claim(_)) | None => Slot::Release([bytes; RELEASED_TOKENS]),
         };
         self.put(key, slot, at);
     }
 
-    pub(crate) fn piece(&self, key: Digest) -> Option<Piece> {
+    pub(crate) fn event(&self, key: Digest) -> Option<Event> {
         let slot = self.slots.get(&key.0.to_be_bytes())?;
         match slot {
-            Slot::Taken(taken) => self.record(key, taken).map(Piece::Claim),
-            Slot::Ended(raw, finish) => Some(Piece::End(token(raw), self.ended(finish))),
-            Slot::Freed(freed) => Some(Piece::Free(freed.each_ref().map(token))),
+            Slot::Claim(claim) => self.record(key, claim).map(Event::Claim),
+            Slot::End(bytes, end) => Some(Event::End(token(bytes), self.ended(end))),
+            Slot::Release(released) => Some(Event::Release(released.each_ref().map(token))),
         }
     }
 
     fn put(&mut self, key: Digest, slot: Slot, at: Moment) {
         self.newest = self.newest.max(at);
         if self.slots.insert(key.0.to_be_bytes(), slot).is_none() {
-            self.weight += SLOT_WEIGHT;
+            self.size_bound += MAX_SLOT_BYTES;
         }
     }
 
-    fn name(&mut self, text: &str) -> Name {
-        if let Some(place) = self.places.get(text) {
-            return *place;
+    fn intern(&mut self, text: &str) -> NameIndex {
+        if let Some(index) = self.name_indices.get(text) {
+            return *index;
         }
         // A generation stays far below a megabyte, and so does its number of names.
-        let place = Name::try_from(self.names.len()).unwrap_or(Name::MAX);
+        let index = NameIndex::try_from(self.names.len()).unwrap_or(NameIndex::MAX);
         self.names.push(text.to_string());
-        self.places.insert(text.to_string(), place);
-        self.weight += text.len() + NAME_WEIGHT;
-        place
+        self.name_indices.insert(text.to_string(), index);
+        self.size_bound += text.len() + NAME_OVERHEAD_BYTES;
+        index
     }
 
-    fn text(&self, name: Name) -> Option<&str> {
-        let place = usize::try_from(name).ok()?;
-        self.names.get(place).map(String::as_str)
+    fn name_at(&self, name: NameIndex) -> Option<&str> {
+        let index = usize::try_from(name).ok()?;
+        self.names.get(index).map(String::as_str)
     }
 
-    fn record(&self, key: Digest, taken: &Taken) -> Option<Record> {
+    fn record(&self, key: Digest, claim: &StoredClaim) -> Option<Record> {
         Some(Record {
             key,
-            body: taken.body,
-            token: token(&taken.token),
-            caller: self.text(taken.caller)?.parse().ok()?,
-            entry: self.text(taken.entry)?.parse().ok()?,
-            rule: self.text(taken.rule)?.to_string(),
-            at: taken.at,
-            end: taken.end.as_ref().map(|finish| self.ended(finish)),
+            body: claim.body,
+            token: token(&claim.token),
+            caller: self.name_at(claim.caller)?.parse().ok()?,
+            entry: self.name_at(claim.entry)?.parse().ok()?,
+            rule: self.name_at(claim.rule)?.to_string(),
+            at: claim.at,
+            end: claim.end.as_ref().map(|end| self.ended(end)),
         })
     }
 
-    fn ended(&self, finish: &Finish) -> Ended {
-        let target = finish.target.and_then(|name| self.text(name));
+    fn ended(&self, end: &StoredEnd) -> Ended {
+        let target = end.target.and_then(|name| self.name_at(name));
         Ended {
             target: target.and_then(|text| text.parse::<Instance>().ok()),
-            at: finish.at,
-            outcome: outcome(finish.outcome),
-            status: finish.status,
+            at: end.at,
+            outcome: decode_outcome(end.outcome),
+            status: end.status,
         }
     }
 }
@@ -252,17 +255,17 @@
 ///
 /// The newest claim counts. Ends and releases count by their token, so that a late release of an
 /// earlier try can't free the key of a later one.
-pub(crate) fn fold(pieces: impl IntoIterator<Item = Piece>) -> Option<Record> {
+pub(crate) fn fold(events: impl IntoIterator<Item = Event>) -> Option<Record> {
     let mut ends = Vec::new();
-    let mut freed = Vec::new();
-    for piece in pieces {
-        match piece {
-            Piece::End(token, ended) => ends.push((token, ended)),
-            Piece::Free(tokens) => freed.extend(tokens),
-            Piece::Claim(mut record) => {
+    let mut released = Vec::new();
+    for event in events {
+        match event {
+            Event::End(token, ended) => ends.push((token, ended)),
+            Event::Release(tokens) => released.extend(tokens),
+            Event::Claim(mut record) => {
                 let end = ends.into_iter().find(|(token, _)| *token == record.token);
                 record.end = record.end.or(end.map(|(_, ended)| ended));
-                let stands = record.end.is_some() || !freed.contains(&record.token);
+                let stands = record.end.is_some() || !released.contains(&record.token);
                 return stands.then_some(record);
             }
         }
@@ -270,24 +273,24 @@
     None
 }
 
-fn token(raw: &Raw) -> Token {
-    Token(u128::from_be_bytes(*raw))
+fn token(bytes: &IdBytes) -> Token {
+    Token(u128::from_be_bytes(*bytes))
 }
 
-fn code(outcome: Outcome) -> Code {
+fn encode_outcome(outcome: Outcome) -> OutcomeCode {
     match outcome {
-        Outcome::Ran => Code::Ran,
-        Outcome::NotRun => Code::NotRun,
-        Outcome::Unknown => Code::Unknown,
-        Outcome::AlreadyRun => Code::AlreadyRun,
+        Outcome::Ran => OutcomeCode::Ran,
+        Outcome::NotRun => OutcomeCode::NotRun,
+        Outcome::Unknown => OutcomeCode::Unknown,
+        Outcome::AlreadyRun => OutcomeCode::AlreadyRun,
     }
 }
 
-fn outcome(code: Code) -> Outcome {
+fn decode_outcome(code: OutcomeCode) -> Outcome {
     match code {
-        Code::Ran => Outcome::Ran,
-        Code::NotRun => Outcome::NotRun,
-        Code::Unknown => Outcome::Unknown,
-        Code::AlreadyRun => Outcome::AlreadyRun,
+        OutcomeCode::Ran => Outcome::Ran,
+        OutcomeCode::NotRun => Outcome::NotRun,
+        OutcomeCode::Unknown => Outcome::Unknown,
+        OutcomeCode::AlreadyRun => Outcome::AlreadyRun,
     }
 }
