--- a/crates/ledger/src/claim.rs
+++ b/crates/ledger/src/claim.rs
@@ -1,4 +1,4 @@
-//! What is asked of the ledger, what it answers, and the record it keeps.
+//! Claims, their results, and the records of the ledger.
 
 use std::time::{Duration, SystemTime};
 
@@ -6,20 +6,20 @@
 use tokio::time::Instant;
 use unit::{Caller, Digest, Instance, Outcome, Token};
 
-/// A time of day in milliseconds since 1970 UTC, for records that people read.
+/// A wall-clock time in milliseconds since 1970 UTC, for records that people read.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// The moment of the system's clock.
+    /// The current time of the system clock.
     pub fn now() -> Moment {
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         Moment(0).after(since.unwrap_or_default())
     }
 
-    /// The moment `span` after this one.
+    /// The time `span` after this one.
     pub fn after(self, span: Duration) -> Moment {
         let ms = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
         Moment(self.0.saturating_add(ms))
@@ -33,87 +33,89 @@
     }
 }
 
-/// A request that may not be repeated, before it runs.
+/// A non-idempotent request that is to be claimed before it runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
-    /// The hash of the request's key, already scoped to its caller.
+    /// The hash of the request's key, scoped to its caller.
     pub key: Digest,
-    /// The hash of the request's body; the same key with another body is refused.
+    /// The hash of the request's body; the same key with another body is rejected.
     pub body: Digest,
-    /// Who asks.
+    /// The caller that sent the request.
     pub caller: Caller,
-    /// Names this try. Each claim needs a fresh one, also when the same request is claimed again:
-    /// a claim that was given up is released by its token, and that must not hit a later claim.
+    /// Identifies this attempt. Each claim needs a fresh token, even if the same request is claimed
+    /// again: an abandoned claim is released by its token, and that must not release a later claim.
     pub token: Token,
-    /// The instance where the request entered.
+    /// The instance that received the request from its caller.
     pub entry: Instance,
-    /// When the answer is of no more use.
+    /// When the response is no longer of use.
     pub deadline: Instant,
     /// The rule that the request matched.
     pub rule: String,
 }
 
-/// What became of a claim.
+/// The result of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claimed {
-    /// The store has confirmed the claim: the request may run now, and nobody else runs its key.
+    /// The store has confirmed the claim: the request may run now, and no other attempt runs its
+    /// key.
     Granted,
-    /// Another try holds the key, and no end is recorded.
+    /// Another attempt holds the key, and its end is not recorded.
     Running(Record),
-    /// The key has come to its end.
+    /// The end of the request is recorded.
     Done(Record),
     /// The key was claimed before with another body.
     Mismatch,
 }
 
-/// What the ledger keeps of a claim: the audit trail of its request.
+/// The stored record of a claim: the audit trail of its request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The hash of the key.
     pub key: Digest,
     /// The first half of the body's hash.
     pub body: u64,
-    /// The try that holds the key.
+    /// The token of the attempt that holds the key.
     pub token: Token,
-    /// Who asked.
+    /// The caller that sent the request.
     pub caller: Caller,
-    /// The instance where the request entered.
+    /// The instance that received the request from its caller.
     pub entry: Instance,
     /// The rule that the request matched.
     pub rule: String,
     /// When the claim was written.
     pub at: Moment,
-    /// How it ended; absent while it runs, or when nobody lived to record it.
+    /// How the request ended; `None` while it runs, or if the processes that could record its end
+    /// have died.
     pub end: Option<Ended>,
 }
 
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
-    /// The target that ran it; absent when it is not known.
+    /// The target that ran it; `None` when it is not known.
     pub target: Option<Instance>,
-    /// When it ended.
+    /// When the request ended.
     pub at: Moment,
-    /// What became of it.
+    /// The outcome of the request.
     pub outcome: Outcome,
-    /// The HTTP status of its answer, 0 when there was none.
+    /// The HTTP status of the response, 0 when there was none.
     pub status: u16,
 }
 
-/// The report that a claimed request has ended.
+/// A report that a claimed request has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
     /// The hash of the key.
     pub key: Digest,
-    /// The try that has ended.
+    /// The token of the attempt that has ended.
     pub token: Token,
-    /// The target that ran it, where known.
+    /// The target that ran it; `None` when it is not known.
     pub target: Option<Instance>,
-    /// When it ended.
+    /// When the request ended.
     pub at: Moment,
-    /// What became of it; [`Outcome::NotRun`] frees the key.
+    /// The outcome of the request; [`Outcome::NotRun`] frees the key.
     pub outcome: Outcome,
-    /// The HTTP status of its answer, 0 when there was none.
+    /// The HTTP status of the response, 0 when there was none.
     pub status: u16,
 }
 
--- a/crates/ledger/src/dump.rs
+++ b/crates/ledger/src/dump.rs
@@ -1,4 +1,4 @@
-//! What a ledger shows of itself on request.
+//! The state of a ledger for diagnosis.
 
 use serde::Serialize;
 use unit::{Instance, Version};
@@ -23,58 +23,58 @@
     pub number: u16,
     /// The version of the head, where it is loaded and written.
     pub version: Option<Version>,
-    /// Asks that wait.
+    /// Claims and lookups in the queue.
     pub queued: usize,
-    /// Ends and releases that wait.
+    /// Ends and releases that wait to be written.
     pub notes: usize,
-    /// Claims in the write that is on its way.
+    /// Claims in the write that is in flight.
     pub writing: usize,
     /// Keys in the head.
     pub head_keys: usize,
-    /// An upper bound for the size of the head.
+    /// An upper bound for the encoded size of the head in bytes.
     pub head_bytes: usize,
     /// Keys in the sealed segments.
     pub sealed_keys: usize,
-    /// The first segment within the retention.
+    /// The number of the first segment within the retention.
     pub first: u64,
-    /// The segment after the last sealed one.
+    /// The number of the next segment to be sealed.
     pub next: u64,
-    /// How long the store has failed.
+    /// How long the store has been failing, in milliseconds; `None` when it is not.
     pub failing_ms: Option<u64>,
-    /// What was counted since the start.
+    /// Counters since the start.
     pub count: Count,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Count {
     /// Claims granted.
     pub granted: u64,
-    /// Claims told that their key runs.
+    /// Claims answered that their key is running.
     pub running: u64,
-    /// Claims told that their key is done.
+    /// Claims answered that their key is done.
     pub done: u64,
     /// Claims of a known key with another body.
     pub mismatch: u64,
-    /// Asks refused at once: queue full, store down, too many keys.
+    /// Claims and lookups refused at once: queue full, store down, too many keys.
     pub refused: u64,
-    /// Asks that failed later.
+    /// Claims and lookups that failed after they were queued.
     pub failed: u64,
-    /// Claims given up before they were written.
+    /// Claims abandoned by their requester before they were written.
     pub given_up: u64,
-    /// Claims given up although they were written, and released.
+    /// Claims abandoned by their requester after they were written, and released.
     pub released: u64,
     /// Head writes sent.
     pub writes: u64,
     /// Claims in the writes that the store confirmed.
     pub claims: u64,
-    /// Writes that met another version.
+    /// Head writes that failed because of another version.
     pub conflicts: u64,
-    /// Writes whose answer was lost.
+    /// Head writes whose result is unknown.
     pub lost: u64,
     /// Heads loaded.
     pub loads: u64,
-    /// Asks for which sealed segments were read.
+    /// Claims and lookups for which sealed segments were read.
     pub probes: u64,
 }
 
--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -1,10 +1,10 @@
-//! Why the ledger could not answer.
+//! Errors of the ledger.
 
 use std::time::Duration;
 
 use quick_error::quick_error;
 
-/// What the ledger was doing.
+/// The operation that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 pub enum Step {
     /// Claiming a key.
@@ -13,40 +13,40 @@
     /// Recording an end or a release.
     #[display("end")]
     End,
-    /// Looking for a record.
+    /// Looking up a record.
     #[display("find")]
     Find,
 }
 
 quick_error! {
-    /// What went wrong.
+    /// The cause of an [`Error`].
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Kind {
         /// The queue in front of the shard is full.
         Full {
             display("the queue is full")
         }
-        /// The store is known to be down.
+        /// The store has failed for longer than a claim may wait.
         Down {
             display("the store is down")
         }
-        /// There was no answer of the store within the wait.
+        /// The store did not confirm within the time limit.
         TimedOut {
             display("the store did not confirm in time")
         }
-        /// The claim was released before it was written: whoever asked has given it up.
+        /// The claim was released before it was written, because its requester has abandoned it.
         Released {
             display("the claim was released before it was written")
         }
-        /// The shard holds as many keys within its retention as it may.
+        /// The shard holds the maximum number of keys within its retention.
         TooManyKeys {
             display("too many keys within the retention")
         }
-        /// The store's ledger was laid out with another number of shards.
+        /// The ledger in the store has another number of shards.
         LayoutMismatch(shards: u16) {
             display("the store's ledger has {shards} shards")
         }
-        /// An object of the ledger can't be read.
+        /// An object of the ledger can't be decoded.
         Garbled(object: String) {
             display("{object} can't be read")
         }
@@ -61,20 +61,20 @@
     }
 }
 
-/// A failure, with its step and shard.
+/// A failed operation, with its shard.
 ///
-/// After a failed claim the request must not run. The ledger sees to it that the key does not stay
-/// taken: a claim whose write lands later is released.
+/// After a failed claim the request must not run. The ledger ensures that the key does not stay
+/// taken: a claim whose write succeeds later is released.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display)]
 #[display("ledger: {step} at shard {shard}: {kind}")]
 pub struct Error {
-    /// What the ledger was doing.
+    /// The operation that failed.
     pub step: Step,
     /// The shard of the key.
     pub shard: u16,
-    /// What went wrong.
+    /// The cause.
     pub kind: Kind,
-    /// When it is worth trying again.
+    /// How long to wait before the next attempt.
     pub retry_after: Duration,
 }
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,14 +1,15 @@
-//! Claims for requests that may not be repeated, grouped into conditional updates.
+//! At-most-once claims for non-idempotent requests, batched into conditional writes.
 //!
-//! A request that may not be repeated is claimed by its key before it runs. The ledger spreads the
-//! keys over shards. Each shard has one head object in the platform's store; the claims that
-//! arrive while a write is on its way go into the next write together. A claim is granted only
-//! after the store has confirmed its write.
+//! A non-idempotent request is claimed by its key before it runs. The ledger distributes keys over
+//! shards. Each shard has one head object in the platform's store; claims that arrive while a write
+//! is in flight are batched into the next write. A claim is granted only after the store has
+//! confirmed its write.
 //!
-//! No lease guards the heads. Whoever writes a head names the version that it has read, so that of
-//! two owners only one can write, and the other one loads the head anew before it answers.
+//! Heads are not protected by leases. Each write of a head is conditional on the version that its
+//! writer has read, so that of two concurrent owners only one succeeds. The other one reloads the
+//! head before it answers.
 //!
-//! Large heads are sealed into segments, of which the owner keeps eight bytes a key in memory.
+//! Large heads are sealed into segments. The owner keeps eight bytes per key of them in memory.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -1,4 +1,4 @@
-//! What an entry and the owner of a key say to each other.
+//! Messages between an entry and the owner of a key.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 
 use crate::{Claim, Claimed, End};
 
-/// A question to the owner of a key.
+/// A request to the owner of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ask {
     /// Claims a key.
     Claim(ClaimRequest),
     /// Records an end.
     End(End),
-    /// Looks a key up.
+    /// Looks up the record of a key.
     Find(Digest),
 }
 
-/// A [`Claim`] on its way: its deadline as the time that is left.
+/// A [`Claim`] in transit, with its deadline as the remaining time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
     key: Digest,
@@ -31,26 +31,26 @@
     remaining: Duration,
 }
 
-/// What the owner answers.
+/// The owner's answer to an [`Ask`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// To [`Ask::Claim`].
+    /// The answer to [`Ask::Claim`].
     Claimed(Claimed),
-    /// To [`Ask::End`], once the store holds it.
+    /// The answer to [`Ask::End`], sent once the store holds the end.
     Ended,
-    /// To [`Ask::Find`].
+    /// The answer to [`Ask::Find`].
     Found(Option<crate::Record>),
-    /// The ledger gave no answer; a claim was not granted.
+    /// The operation failed; a claim was not granted.
     Failed {
-        /// Why.
+        /// The error message.
         cause: String,
-        /// When it is worth trying again.
+        /// How long to wait before the next attempt.
         retry_after: Duration,
     },
 }
 
 impl ClaimRequest {
-    /// The claim as it is sent now.
+    /// Converts a claim for sending; the remaining time counts from now.
     pub fn new(claim: Claim) -> ClaimRequest {
         ClaimRequest {
             key: claim.key,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The claim as it has come now.
+    /// Converts back on arrival; the deadline is set from now.
     pub fn into_claim(self) -> Claim {
         Claim {
             key: self.key,
@@ -78,7 +78,7 @@
 }
 
 impl crate::Ledger {
-    /// Answers a question of an entry.
+    /// Executes a request of an entry.
     pub async fn answer(&self, ask: Ask) -> Answer {
         let failed = |error: crate::Error| Answer::Failed {
             cause: error.to_string(),
--- a/crates/ledger/src/owner.rs
+++ b/crates/ledger/src/owner.rs
@@ -1,11 +1,11 @@
-//! Which instance should own a shard: rendezvous hashing.
+//! Selection of the preferred owner of a shard by rendezvous hashing.
 
 use unit::{Digest, Instance};
 
-/// The instance that should own a shard: the one of the highest rank among those given.
+/// The preferred owner of a shard: the instance with the highest rank for it.
 ///
-/// It is a hint. Daemons whose rosters differ may name different owners; the version check on the
-/// head keeps that safe, and costs a reload for each change of hands.
+/// The result is only a hint. Daemons with different rosters may compute different owners; the
+/// version check on the head keeps that safe, at the cost of a reload for each change of owner.
 pub(crate) fn owner(shard: u16, instances: &[Instance]) -> Option<&Instance> {
     let rank = |instance: &&Instance| {
         let shard = shard.to_le_bytes();
