--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger as its users see it.
+//! The public interface of the ledger.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,17 +22,17 @@
 use crate::setting::Builder;
 use crate::shard::Shard;
 
-/// Writes of all shards that may come together, so that a few claims at once need not wait.
+/// Writes of all shards that may be sent in a burst, so that a few concurrent claims need not wait.
 const BURST: u32 = 16;
 
-/// The part of the writes that is kept for sealing and deleting segments. Taken from the batches'
-/// part instead, each segment would hold up the claims of a whole batch.
+/// The share of the writes that is reserved for sealing and deleting segments. If these drew on the
+/// share of the batches, each segment would delay a whole batch of claims.
 const MAINTENANCE_SHARE: f64 = 0.1;
 
-/// Chores of one shard that may come together.
+/// Maintenance writes of one shard that may be sent in a burst.
 const MAINTENANCE_BURST: u32 = 2;
 
-/// A handle on the ledger; clones share it, and the last one stops its work when dropped.
+/// A handle to the ledger. Clones share it; dropping the last one stops its tasks.
 #[derive(Clone)]
 pub struct Ledger {
     inner: Arc<Inner>,
@@ -95,21 +95,21 @@
         }
     }
 
-    /// Claims a key, and waits until the store has confirmed it or the key is found taken.
+    /// Claims a key, and waits until the store has confirmed the claim or the key is found taken.
     ///
-    /// The wait is bounded by the patience and by the claim's deadline. Dropping the future gives
-    /// the claim up.
+    /// The wait ends after the configured timeout or at the claim's deadline. Dropping the future
+    /// abandons the claim.
     ///
     /// # Errors
     ///
-    /// After an error the request must not run, and it is free to be claimed again with a fresh
-    /// token. [`Error::retry_after`] says when that is worth while.
+    /// After an error the request must not run; it may be claimed again with a fresh token.
+    /// [`Error::retry_after`] says how long to wait before that.
     pub async fn claim(&self, claim: Claim) -> Result<Claimed, Error> {
         let until = claim.deadline;
         match self.submit(Operation::Claim(claim), until).await? {
             Response::Claimed(claimed) => Ok(claimed),
             Response::Failed(error) => Err(error),
-            // A claim is never answered with a look's verdict.
+            // Claims are never answered with the result of a lookup.
             Response::Found(_) => Ok(Claimed::Mismatch),
         }
     }
@@ -118,25 +118,25 @@
     ///
     /// # Errors
     ///
-    /// When the store gives no answer in time.
+    /// If the store does not answer in time.
     pub async fn find(&self, key: Digest) -> Result<Option<Record>, Error> {
         let until = Instant::now() + self.inner.timeout;
         match self.submit(Operation::Find(key), until).await? {
             Response::Found(record) => Ok(record),
             Response::Failed(error) => Err(error),
-            // A look is never answered with a claim's verdict.
+            // Lookups are never answered with the result of a claim.
             Response::Claimed(_) => Ok(None),
         }
     }
 
-    /// Records how a claimed request ended, and waits until the store holds it.
+    /// Records how a claimed request ended, and waits until the store holds the record.
     ///
-    /// It rides on a later batch. It is written also when the future is dropped before.
+    /// The end is written with a later batch, even if the future is dropped before.
     /// [`Outcome::NotRun`] frees the key; after any other outcome the key stays taken.
     ///
     /// # Errors
     ///
-    /// When too many ends wait already, or the ledger closes.
+    /// If too many ends are queued, or the ledger closes.
     pub async fn end(&self, end: End) -> Result<(), Error> {
         let key = end.key;
         let change = match end.outcome {
@@ -150,15 +150,16 @@
     ///
     /// # Errors
     ///
-    /// As [`Ledger::end`].
+    /// Same as [`Ledger::end`].
     pub async fn release(&self, key: Digest, token: Token) -> Result<(), Error> {
         self.record(key, Change::Release(key, token)).await
     }
 
-    /// Waits until an end or a release of this try is reported here, or seen in the store.
+    /// Waits until an end or a release of the claim with this token is reported here or read from
+    /// the store.
     ///
-    /// Answers the record as it is then: `None` when the key has become free, or at `until`. Another
-    /// process's end is seen when this process next loads the head.
+    /// Returns the record as it is then; `None` when the key has become free, or when `until` has
+    /// passed. An end reported to another process is noticed when this process next loads the head.
     pub async fn wait(&self, key: Digest, token: Token, until: Instant) -> Option<Record> {
         let driver = self.driver(key);
         let mut changed = driver.changed.subscribe();
@@ -171,16 +172,17 @@
                 return peek;
             }
             if finished {
-                // Its claim lies in a sealed segment, or it was released.
+                // The claim is in a sealed segment, or it was released.
                 return timeout_at(until, self.find(key)).await.ok()?.ok()?;
             }
             timeout_at(until, changed.changed()).await.ok()?.ok()?;
         }
     }
 
-    /// Waits until all that was reported is written, for a planned stop; answers whether it is.
+    /// Waits until all queued work is written, for a planned stop; returns whether that was so
+    /// before `until`.
     ///
-    /// Releases of claims that were given up have nobody else who waits for them.
+    /// This includes the releases of abandoned claims, for which no caller waits.
     pub async fn flush(&self, until: Instant) -> bool {
         for driver in &self.inner.drivers {
             let mut changed = driver.changed.subscribe();
@@ -193,7 +195,7 @@
         true
     }
 
-    /// The instance that should be asked for a key, among the live ones: a hint.
+    /// The preferred owner of a key among the live instances. It is only a hint.
     pub fn owner<'a>(&self, key: Digest, instances: &'a [Instance]) -> Option<&'a Instance> {
         owner(self.driver(key).number, instances)
     }
@@ -230,8 +232,8 @@
             Ok(Err(_)) => return Err(driver.error(step, Kind::Closed)),
             Err(_) => {}
         }
-        // A grant can arrive at the last moment. Once the channel is closed none can, and one that
-        // comes too late is released by whoever fails to send it.
+        // A grant may arrive at the last moment. After the channel is closed, a later one can't be
+        // sent and is released by its sender.
         answer.close();
         match answer.try_recv() {
             Ok(reply) => Ok(accept(reply)),
--- a/crates/ledger/src/setting.rs
+++ b/crates/ledger/src/setting.rs
@@ -1,4 +1,4 @@
-//! The settings of a ledger and their defaults.
+//! Settings of a ledger and their defaults.
 
 use std::time::Duration;
 
@@ -22,30 +22,30 @@
     pub(crate) limit: Limit,
 }
 
-/// The bounds and times of one shard.
+/// The limits and timings of one shard.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Limit {
-    /// Asks that may wait.
+    /// Maximum number of queued requests.
     pub(crate) queue: usize,
-    /// Claims in one write.
+    /// Maximum number of claims in one write.
     pub(crate) batch: usize,
-    /// Keys within the retention.
+    /// Maximum number of keys within the retention.
     pub(crate) max_keys: usize,
-    /// Bytes of a generation at which it is frozen.
+    /// Size in bytes at which a generation is frozen.
     pub(crate) segment_size: usize,
-    /// How long a claim waits for the store.
+    /// How long a claim or a lookup waits for the store.
     pub(crate) timeout: Duration,
-    /// How long a state that the store confirmed may speak for the store.
+    /// How long after its last confirmation the cached head may be used to answer.
     pub(crate) max_staleness: Duration,
-    /// How long an end waits for a claim to ride with.
+    /// How long an end waits for a claim to be written with.
     pub(crate) linger: Duration,
     /// How long claims are kept.
     pub(crate) retention: Duration,
-    /// After how long without work a shard forgets its state.
+    /// How long a shard may be idle before it drops its cached state.
     pub(crate) idle_timeout: Duration,
 }
 
-/// Tells the time of day from the runtime's clock, so that tests can advance it.
+/// Wall-clock time derived from the runtime's clock, so that tests can advance it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
     origin: Instant,
@@ -59,8 +59,8 @@
     }
 }
 
-/// The largest roll size: a head holds two generations and one batch, and must stay below the
-/// platform's megabyte.
+/// Maximum segment size in bytes: a head holds two generations and one batch, and must stay below
+/// the platform's limit of one megabyte.
 const MAX_SEGMENT_SIZE: u64 = 300_000;
 
 impl Builder {
@@ -90,41 +90,42 @@
         }
     }
 
-    /// Where the ledger's objects lie; `ledger` where none is set. A `/` at its end may be left out.
+    /// The key prefix of the ledger's objects in the store; `ledger` by default. A trailing `/` may
+    /// be left out.
     pub fn prefix(mut self, prefix: &str) -> Builder {
         self.prefix = prefix.trim_end_matches('/').to_string();
         self
     }
 
-    /// The number of shards. All daemons must agree on it: the first one writes it to the store,
-    /// and a ledger that was given another number refuses every claim.
+    /// The number of shards. All daemons must use the same: the first one writes it to the store,
+    /// and a ledger with another number refuses every claim.
     pub fn shards(mut self, shards: u16) -> Builder {
         self.shards = shards.max(1);
         self
     }
 
-    /// The writes a second that the ledgers of the whole fleet may use together.
+    /// The writes per second that the ledgers of the whole fleet may use together.
     ///
-    /// Each shard keeps to its part. Since a shard has one owner, but for short moments, the sum
-    /// over the fleet stays within the rate without the daemons talking about it.
+    /// Each shard is limited to its share. A shard has one owner except for short moments, so the
+    /// fleet stays within the rate without coordination between the daemons.
     pub fn writes(mut self, rate: Rate) -> Builder {
         self.writes = rate;
         self
     }
 
-    /// Seeds the pauses after failures.
+    /// Seeds the jitter of the backoff after failures.
     pub fn seed(mut self, seed: u64) -> Builder {
         self.seed = seed;
         self
     }
 
-    /// The instance of this ledger, for logs and the dump.
+    /// The instance of this ledger, shown in the dump.
     pub fn owner(mut self, owner: Instance) -> Builder {
         self.owner = Some(owner);
         self
     }
 
-    /// The time of day now, where the system's clock is not to be used.
+    /// Sets the current wall-clock time, in place of the system clock.
     pub fn moment(mut self, moment: Moment) -> Builder {
         self.clock = Clock {
             origin: Instant::now(),
@@ -133,62 +134,64 @@
         self
     }
 
-    /// How long claims are kept; a key may run again after that.
+    /// How long claims are kept; after that, a key may run again.
     pub fn retention(mut self, retention: Duration) -> Builder {
         self.limit.retention = retention;
         self
     }
 
-    /// The claims that may wait in front of each shard.
+    /// The number of claims and lookups that may wait in the queue of each shard.
     pub fn queue(mut self, asks: usize) -> Builder {
         self.limit.queue = asks;
         self
     }
 
-    /// The claims that go into one write; 1 switches grouping off.
+    /// The maximum number of claims in one write, from 1 to 2000; 1 disables batching.
     pub fn batch(mut self, claims: usize) -> Builder {
         self.limit.batch = claims.clamp(1, 2_000);
         self
     }
 
-    /// The keys that one shard may hold within its retention; 8 bytes of memory each.
+    /// The number of keys that one shard may hold within its retention; each takes 8 bytes of
+    /// memory.
     pub fn max_keys(mut self, keys: usize) -> Builder {
         self.limit.max_keys = keys;
         self
     }
 
-    /// The size at which the claims of a head become a sealed segment; at most 300 KB.
+    /// The size at which the claims of a head are sealed into a segment; at most 300 KB.
     pub fn segment_size(mut self, size: Size) -> Builder {
         let bytes = size.bytes().min(MAX_SEGMENT_SIZE);
         self.limit.segment_size = usize::try_from(bytes).unwrap_or(usize::MAX);
         self
     }
 
-    /// How long a claim waits for the store before it is given up.
+    /// How long a claim or a lookup waits for the store before it fails.
     pub fn timeout(mut self, timeout: Duration) -> Builder {
         self.limit.timeout = timeout;
         self
     }
 
-    /// How long an end waits for a claim whose write it can ride on.
+    /// How long an end waits for a claim that it can be written with.
     pub fn linger(mut self, linger: Duration) -> Builder {
         self.limit.linger = linger;
         self
     }
 
-    /// How long a confirmed state may answer that a key is taken without asking the store.
+    /// How long a confirmed head may be used to answer without asking the store again.
     pub fn max_staleness(mut self, staleness: Duration) -> Builder {
         self.limit.max_staleness = staleness;
         self
     }
 
-    /// After how long without work a shard forgets its keys, to be read again when needed.
+    /// How long a shard may be idle before it drops its keys from memory; they are read again when
+    /// needed.
     pub fn idle_timeout(mut self, timeout: Duration) -> Builder {
         self.limit.idle_timeout = timeout;
         self
     }
 
-    /// Opens the ledger; it reads nothing before the first claim.
+    /// Opens the ledger. It reads nothing from the store before the first request.
     pub fn open(self) -> Ledger {
         Ledger::open(self)
     }
