--- a/crates/ledger/src/build.rs
+++ b/crates/ledger/src/build.rs
@@ -1,4 +1,4 @@
-//! Building a batch: which asks are answered from the state, and which go into the write.
+//! Building a batch: which requests are answered from the cached head, and which are written.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -11,22 +11,23 @@
 use crate::shard::{Batch, CachedHead, Shard, Turn};
 use crate::slot::{Event, fold};
 
-/// Bytes of a head above which it takes no more claims; the platform holds a megabyte.
+/// Size of a head in bytes above which it accepts no more claims; the platform limits an object to
+/// a megabyte.
 const MAX_HEAD_BYTES: usize = 900_000;
 
-/// Bytes of a head above which it takes no more ends and releases either.
+/// Size of a head in bytes above which it accepts no more ends and releases either.
 const MAX_HEAD_BYTES_FOR_UPDATES: usize = 950_000;
 
-/// What the state says of an ask.
+/// The state of a key in the head and in the sealed segments that were read.
 enum Lookup {
     Free,
     Record(Record),
-    /// These segments must be read first.
+    /// These sealed segments must be read first.
     Probe(Vec<u64>),
 }
 
 impl Shard {
-    /// Builds the next batch, or answers `None` when there is nothing to write.
+    /// Builds the next batch, or returns `None` when there is nothing to write.
     pub(crate) fn build_batch(
         &mut self,
         now: Instant,
@@ -48,7 +49,8 @@
         draft.deferred.append(&mut queue);
         self.queue = draft.deferred;
         let empty = draft.requests.is_empty() && updates.is_empty() && replay == Replay::Nothing;
-        // An answer from an old state needs the store's word first. A batch gives it as well.
+        // A response from stale state must be confirmed by the store first. A write confirms it as
+        // well, so the head is reloaded only when there is nothing to write.
         self.needs_load = empty && draft.stale;
         let bytes = cached.head.encode();
         let condition = cached.version.map_or(Condition::Absent, Condition::Match);
@@ -59,7 +61,7 @@
         Some(Batch {
             requests: draft.requests,
             updates,
-            // Plain numbers and texts can't fail to encode.
+            // Encoding integers and strings can't fail.
             bytes: bytes?,
             condition,
             may_land: false,
@@ -68,7 +70,7 @@
         })
     }
 
-    /// Adds what the store has lost, before anything is answered from the head.
+    /// Adds the writes that the store has lost, before any request is answered from the head.
     fn replay(&mut self, cached: &mut CachedHead) -> Replay {
         if !self.recent.is_pending() {
             return Replay::Nothing;
@@ -80,7 +82,7 @@
         replay
     }
 
-    /// Adds ends and releases, as many as a batch and the head can take.
+    /// Adds ends and releases, as many as the batch and the head can take.
     fn take_updates(&mut self, cached: &mut CachedHead, moment: Moment) -> Vec<Update> {
         let mut taken = 0;
         for update in self.updates.iter().take(self.limit.batch) {
@@ -93,8 +95,8 @@
         self.updates.drain(..taken).collect()
     }
 
-    /// Drops what is out of the retention, counts a sealed segment in, and freezes a large
-    /// generation. All of it rides on the write of a batch.
+    /// Drops segments past the retention, counts a newly sealed segment, and freezes a large
+    /// generation. These changes are written together with the next batch.
     fn rotate(&mut self, cached: &mut CachedHead, moment: Moment) {
         let head = &mut cached.head;
         while let Some(newest) = self.index.newest(head.first)
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Answers an ask, puts it into the batch, or lays it aside.
+    /// Answers a request, adds it to the batch, or defers it.
     fn dispatch(
         &mut self,
         request: Request,
@@ -126,7 +128,7 @@
         draft: &mut Draft,
         turn: &mut Turn,
     ) {
-        // Nobody waits, and the claim can't have been written.
+        // The requester is gone, and the claim can't have been written.
         if request.reply.is_closed() && !request.maybe_written {
             self.count.given_up += 1;
             return;
@@ -144,7 +146,7 @@
         let stale = now.saturating_duration_since(cached.confirmed_at) > self.limit.max_staleness;
         match (lookup, &request.operation) {
             (Lookup::Probe(segments), _) => turn.probes.push((request, segments)),
-            // The claim was sent, has not landed, and the newer version keeps it from landing.
+            // The claim was sent but not written, and the newer version prevents a delayed write.
             (Lookup::Free, Operation::Claim(_)) if request.reply.is_closed() => {
                 self.count.given_up += 1;
             }
@@ -192,7 +194,7 @@
     }
 }
 
-/// What is gathered while a batch is built.
+/// The state collected while a batch is built.
 #[derive(Default)]
 struct Draft {
     requests: Vec<Request>,
@@ -203,10 +205,11 @@
 
 /// Whether the claim was released before it was written.
 ///
-/// An entry that loses the owner of a key tells its caller "not run" and has the next owner release
-/// the claim, while that waits here for a slow store or for a paused process. Granted then, it would
-/// never be released again, and the key would be dead though nothing ran. Its token stands among
-/// the released ones, and the version check shows us these before we write.
+/// An entry that loses the owner of a key answers its caller "not run" and has the next owner
+/// release the claim, which may still be queued here because the store is slow or this process was
+/// paused. If it were granted afterwards, no other release would follow, and the key would stay
+/// taken although nothing ran. The head holds the released tokens, and the version check ensures
+/// that this owner has read them before its write succeeds.
 fn was_released(request: &Request, cached: &CachedHead) -> bool {
     let Operation::Claim(claim) = &request.operation else {
         return false;
--- a/crates/ledger/src/grant.rs
+++ b/crates/ledger/src/grant.rs
@@ -1,4 +1,4 @@
-//! A confirmed claim on its way to whoever asked for it.
+//! A confirmed claim on its way to its requester.
 
 use std::sync::Weak;
 
@@ -7,18 +7,18 @@
 use crate::driver::Driver;
 use crate::request::Response;
 
-/// What is sent to whoever asked.
+/// A response on its way to its requester.
 #[derive(Debug)]
 pub(crate) enum Reply {
     Granted(Grant),
     Other(Response),
 }
 
-/// A confirmed claim that nobody has taken yet; dropped untaken, it is released.
+/// A confirmed claim that its requester has not accepted yet; dropping it releases the claim.
 ///
-/// Its asker may have given up, or its future may have been dropped, while the write was on its
-/// way. Nothing runs then, but the store holds the claim: without the release each resend would be
-/// told that the key runs, until the retention ends.
+/// The requester may have timed out, or its future may have been dropped, while the write was in
+/// flight. Nothing runs then, but the store holds the claim: without the release, each resend would
+/// be answered that the key is running, until the retention ends.
 pub(crate) struct Grant {
     driver: Weak<Driver>,
     key: Digest,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Hands the claim to its asker, who has to report its end from here on.
+    /// Hands the claim to its requester, which must report the end of the request.
     pub(crate) fn accept(mut self) {
         self.accepted = true;
     }
--- a/crates/ledger/src/peek.rs
+++ b/crates/ledger/src/peek.rs
@@ -1,4 +1,4 @@
-//! What a shard knows without asking the store.
+//! The state of a key that a shard can tell without reading the store.
 
 use unit::{Digest, Token};
 
@@ -8,13 +8,14 @@
 use crate::slot::{Event, RELEASED_TOKENS, fold};
 
 impl Shard {
-    /// What is known of a key here, pending notes counted in, without the sealed segments.
+    /// The record of a key from the cached head and the queued updates, without the sealed
+    /// segments.
     pub(crate) fn peek(&self, key: Digest) -> Option<Record> {
         let pending_events = self.pending_events(key);
         fold(pending_events.chain(self.head_events(key)))
     }
 
-    /// Whether an end or a release of this try was reported here.
+    /// Whether an end or a release of the claim with this token was reported or read here.
     pub(crate) fn is_finished(&self, key: Digest, token: Token) -> bool {
         let pending_events = self.pending_events(key);
         let events = pending_events.chain(self.head_events(key));
@@ -25,7 +26,7 @@
         })
     }
 
-    /// What the head says of a key.
+    /// The events of a key in the cached head.
     fn head_events(&self, key: Digest) -> impl Iterator<Item = Event> {
         let heads = self.cached.iter().map(|cached| &cached.head);
         heads.flat_map(move |head| head.events(key))
@@ -40,7 +41,7 @@
         })
     }
 
-    /// Whether nothing waits to be written.
+    /// Whether nothing is queued or being written.
     pub(crate) fn is_flushed(&self) -> bool {
         self.updates.is_empty() && self.in_flight.is_none() && self.queue.is_empty()
     }
--- a/crates/ledger/src/request.rs
+++ b/crates/ledger/src/request.rs
@@ -1,4 +1,4 @@
-//! What waits in a shard: claims, looks, ends and releases.
+//! The work queued in a shard: claims, lookups, ends and releases.
 
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -9,12 +9,12 @@
 use crate::grant::Reply;
 use crate::slot::Event;
 
-/// What somebody wants to know of a key.
+/// An operation on a key whose result its requester waits for.
 #[derive(Debug)]
 pub(crate) enum Operation {
-    /// To claim it.
+    /// Claims the key.
     Claim(Claim),
-    /// To read its record.
+    /// Reads the record of the key.
     Find(Digest),
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// What the shard answers.
+/// The result of an operation.
 #[derive(Debug)]
 pub(crate) enum Response {
     Claimed(Claimed),
@@ -42,24 +42,25 @@
     Failed(Error),
 }
 
-/// Somebody who waits for a verdict.
+/// A queued operation, with the channel for its response.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) operation: Operation,
     pub(crate) reply: oneshot::Sender<Reply>,
-    /// The claim was in a write that may have landed. Its token tells, when found in the store.
+    /// Whether the claim was part of a write that may have succeeded. It did if the store holds the
+    /// claim's token.
     pub(crate) maybe_written: bool,
     pub(crate) probe: Option<Probe>,
 }
 
-/// What sealed segments say of a key.
+/// The events of a key in the sealed segments that were read for it.
 #[derive(Debug, Clone)]
 pub(crate) struct Probe {
     pub(crate) segments: Vec<u64>,
     pub(crate) events: Vec<Event>,
 }
 
-/// An end or a release that is to be written.
+/// An end or a release that waits to be written.
 #[derive(Debug)]
 pub(crate) struct Update {
     pub(crate) change: Change,
@@ -67,7 +68,7 @@
     pub(crate) since: Instant,
 }
 
-/// What a note says.
+/// The change that an update makes to the record of a key.
 #[derive(Debug, Clone)]
 pub(crate) enum Change {
     End(End),
