--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -1,12 +1,13 @@
-//! The decisions of one shard: state in, batch out. It does no I/O.
+//! The decisions of one shard, without I/O.
 //!
-//! A turn answers what can be answered, and says what to do next: wait, load the head, or write
-//! one batch. One write is in flight at most; what arrives meanwhile gathers for the next.
+//! A turn answers the requests that can be answered, and decides the next step: wait, load the
+//! head, or write one batch. At most one write is in flight; requests that arrive meanwhile are
+//! collected for the next one.
 //!
-//! The state runs ahead of the store by the batch in flight. When that write fails for certain the
-//! head is loaded anew, and the batch goes back into the queue. When its answer is lost, the very
-//! same bytes are written again under the same condition until the store says yes or conflict:
-//! from then on a delayed first write can have no effect of its own.
+//! The cached head is ahead of the store by the batch in flight. If the write fails definitely, the
+//! head is reloaded and the batch is queued again. If its result is unknown, the same bytes are
+//! written again under the same condition until the store reports success or a conflict; from then
+//! on, a delayed first write can have no effect of its own.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -32,34 +33,34 @@
     pub(crate) cached: Option<CachedHead>,
     pub(crate) index: Index,
     pub(crate) bucket: Bucket,
-    /// The part of the writes that is kept for chores.
+    /// The share of the writes that is reserved for maintenance.
     pub(crate) maintenance_bucket: Bucket,
     pub(crate) queue: VecDeque<Request>,
     pub(crate) updates: Vec<Update>,
     pub(crate) in_flight: Option<Batch>,
     pub(crate) recent: Recent,
-    /// The newest era of the store that is known.
+    /// The newest known era of the store.
     era: Option<Era>,
     pub(crate) count: Count,
-    /// The head must be loaded before the next batch.
+    /// Whether the head must be loaded before the next batch.
     pub(crate) needs_load: bool,
-    /// The segment that was written for the old generation of the head.
+    /// The number of the segment that was written for the frozen generation of the head.
     pub(crate) sealed: Option<u64>,
-    /// Since when the store has failed.
+    /// Since when the store has been failing.
     pub(crate) failing_since: Option<Instant>,
     paused_until: Option<Instant>,
     last_active: Option<Instant>,
 }
 
-/// What the shard knows of its head.
+/// The head in memory.
 pub(crate) struct CachedHead {
     pub(crate) head: Head,
     pub(crate) version: Option<Version>,
-    /// When the store last confirmed that the head is of this version.
+    /// When the store last confirmed that the stored head has this version.
     pub(crate) confirmed_at: Instant,
-    /// `head.first`, as the store has it.
+    /// `head.first` in the stored head.
     pub(crate) stored_first: u64,
-    /// The number of the old generation, as the store has it.
+    /// The segment number of the frozen generation in the stored head.
     pub(crate) stored_frozen: Option<u64>,
 }
 
@@ -69,10 +70,11 @@
     pub(crate) updates: Vec<Update>,
     pub(crate) bytes: Bytes,
     pub(crate) condition: Condition,
-    /// An answer was lost, so that the write may land at any time.
+    /// Whether the result of an attempt is unknown, so that its write may still take effect at any
+    /// time.
     pub(crate) may_land: bool,
     pub(crate) moment: Moment,
-    /// It holds all that an older copy of the store has lost.
+    /// Whether it restores all that an older copy of the store has lost.
     pub(crate) completes_replay: bool,
 }
 
@@ -87,34 +89,34 @@
     }
 }
 
-/// What is to be done next.
+/// The next step of the driver.
 pub(crate) enum Next {
     Wait(Option<Instant>),
     Load,
     Write(Bytes, Condition),
 }
 
-/// A verdict and who waits for it.
+/// A response with the request that it answers.
 pub(crate) type Answer = (Request, Response);
 
-/// What a turn came to.
+/// The result of a turn.
 pub(crate) struct Turn {
     pub(crate) next: Next,
     pub(crate) answers: Vec<Answer>,
     pub(crate) probes: Vec<(Request, Vec<u64>)>,
-    /// Claims that were released elsewhere before they were written.
+    /// Claims that were released through another owner before they were written.
     pub(crate) released: Vec<Request>,
 }
 
-/// A frozen generation on its way into its segment.
+/// A frozen generation that is to be written to its segment.
 pub(crate) struct Seal {
     pub(crate) number: u64,
     pub(crate) bytes: Bytes,
-    /// The era of the store in which the head was read that has frozen it.
+    /// The era of the store in which the head with the frozen generation was read.
     pub(crate) era: Option<Era>,
 }
 
-/// Work that is not urgent.
+/// Background work on segments.
 pub(crate) enum Maintenance {
     Seal(Seal),
     Delete(u64),
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Takes an ask in, or refuses it at once.
+    /// Queues a request, or refuses it at once.
     pub(crate) fn enqueue(&mut self, request: Request, now: Instant) -> Result<(), Kind> {
         let refused = self.refusal(now);
         if let Some(kind) = refused {
@@ -165,17 +167,17 @@
         (self.keys() >= self.limit.max_keys).then_some(Kind::TooManyKeys)
     }
 
-    /// Whether the store has failed for longer than a claim would wait.
+    /// Whether the store has been failing for longer than a claim would wait.
     pub(crate) fn is_down(&self, now: Instant) -> bool {
         let since = |since| now.saturating_duration_since(since);
         self.failing_since
             .is_some_and(|at| since(at) >= self.limit.timeout)
     }
 
-    /// Takes an end or a release in, to be written with a later batch.
+    /// Queues an end or a release, to be written with a later batch.
     pub(crate) fn push_update(&mut self, update: Update) -> Result<(), Kind> {
-        // A release of a claim that was given up has no one to refuse it to, and the queue bounds
-        // how many there can be.
+        // The release of an abandoned claim has no requester that could be told of a refusal. The
+        // queue bounds the number of such releases.
         if update.reply.is_some() && self.updates.len() >= self.limit.queue {
             return Err(Kind::Full);
         }
@@ -184,7 +186,7 @@
         Ok(())
     }
 
-    /// When it is worth asking again.
+    /// How long to wait before the next attempt.
     pub(crate) fn retry_after(&self, now: Instant) -> Duration {
         let pause = self
             .paused_until
@@ -195,13 +197,13 @@
             .min(self.limit.timeout)
     }
 
-    /// Keys in the head and in the segments.
+    /// The number of keys in the head and in the segments.
     pub(crate) fn keys(&self) -> usize {
         let head = self.cached.as_ref().map_or(0, |cached| cached.head.len());
         self.index.len() + head
     }
 
-    /// Answers what can be answered, and decides what to do next.
+    /// Answers the requests that can be answered, and decides the next step.
     pub(crate) fn turn(&mut self, now: Instant, moment: Moment) -> Turn {
         let mut turn = Turn {
             next: Next::Wait(None),
@@ -244,7 +246,7 @@
         next
     }
 
-    /// Whether there is an ask, or a note that has waited long enough for one.
+    /// Whether a request is queued, or an update that has waited long enough for one.
     fn is_due(&self, now: Instant) -> bool {
         let oldest = self.updates.first().map(|update| update.since);
         let due = oldest.is_some_and(|since| now >= since + self.limit.linger);
@@ -252,9 +254,10 @@
         due || !self.queue.is_empty() || self.updates.len() >= self.limit.batch
     }
 
-    /// How long to rest without work; a shard that rests for long forgets its state.
+    /// When to wake up without requests; a shard that is idle for long drops its cached state.
     ///
-    /// Without that a daemon that owned many shards in turn would hold the keys of all of them.
+    /// Otherwise a daemon that owns many shards in turn would keep the keys of all of them in
+    /// memory.
     fn idle_wait(&mut self, now: Instant) -> Option<Instant> {
         if let Some(update) = self.updates.first() {
             return Some(update.since + self.limit.linger);
@@ -277,12 +280,12 @@
         if self.queue.is_empty() && self.updates.is_empty() {
             return Next::Wait(self.idle_wait(now));
         }
-        // The head is too heavy for more until its old generation is sealed.
+        // The head is full until its frozen generation is sealed.
         self.paused_until = Some(now + self.limit.linger);
         Next::Wait(self.paused_until)
     }
 
-    /// The store has confirmed the batch.
+    /// Handles the store's confirmation of the batch.
     pub(crate) fn written(&mut self, now: Instant, version: Version) -> (Vec<Answer>, Vec<Update>) {
         self.failing_since = None;
         let Some(batch) = self.in_flight.take() else {
@@ -315,8 +318,8 @@
         }
     }
 
-    /// Notes the era of the store. In one after the first the head is loaded again, and what it lacks
-    /// of the last writes is written again.
+    /// Sets the era of the store. When it rises, the head is reloaded, and the recent writes that
+    /// it lacks are written again.
     pub(crate) fn enter_era(&mut self, era: Option<Era>, now: Instant) {
         if self.era.is_some() && era > self.era {
             let recently_confirmed =
@@ -338,14 +341,15 @@
         self.era = era;
     }
 
-    /// Another write came before the batch: somebody else's, or our own whose answer was lost.
+    /// Handles a conflict: another write came first, of another owner or of this one with an
+    /// unknown result.
     pub(crate) fn conflicted(&mut self) {
         self.failing_since = None;
         self.count.conflicts += 1;
         self.requeue(true);
     }
 
-    /// The batch was not written, or its answer was lost.
+    /// Handles a failed write; if `lost`, its result is unknown.
     pub(crate) fn failed(&mut self, now: Instant, pause: Duration, lost: bool) {
         self.failing_since.get_or_insert(now);
         self.paused_until = Some(now + pause);
@@ -364,7 +368,7 @@
         }
     }
 
-    /// Puts the batch back into the queue, and the state back to what the store will say.
+    /// Queues the batch again, and has the head reloaded.
     fn requeue(&mut self, maybe_written: bool) {
         self.needs_load = true;
         let Some(batch) = self.in_flight.take() else {
@@ -377,7 +381,7 @@
         self.updates.splice(0..0, batch.updates);
     }
 
-    /// Loading the head or a segment has failed.
+    /// Handles a failure to load the head or a segment.
     pub(crate) fn load_failed(&mut self, now: Instant, pause: Duration) {
         self.failing_since.get_or_insert(now);
         self.paused_until = Some(now + pause);
@@ -389,7 +393,7 @@
         named.filter(|n| !self.index.contains(*n)).collect()
     }
 
-    /// The head was loaded, and the index holds all of its segments.
+    /// Handles a loaded head; the index must hold all of its segments.
     pub(crate) fn loaded(&mut self, now: Instant, head: Head, version: Option<Version>) {
         self.failing_since = None;
         self.needs_load = false;
@@ -409,7 +413,7 @@
         self.cached = Some(cached);
     }
 
-    /// The next chore that the confirmed head calls for.
+    /// The next background work that the stored head requires.
     pub(crate) fn maintenance(&mut self, now: Instant) -> Maintenance {
         let cached = self.cached.as_ref().filter(|_| !self.needs_load);
         let Some(cached) = cached else {
@@ -424,8 +428,9 @@
             .as_ref()
             .and_then(crate::head::encode_segment);
         if let (Some(number), Some(bytes)) = (seal, frozen) {
-            // Beyond the part of the chores on the credit of the batches: those would take each
-            // write as it becomes free, and the head would grow until it holds no more claims.
+            // A seal beyond the maintenance share is charged to the batches. They would otherwise
+            // take each write as it becomes available, and the head would grow until it accepts no
+            // more claims.
             if self.maintenance_bucket.take(now).is_err() {
                 self.bucket.charge(now);
             }
@@ -441,7 +446,7 @@
         }
     }
 
-    /// The segment stands in the store, unless that has come back from an older copy since.
+    /// Records that a segment was written, unless the store was restored from an older copy since.
     pub(crate) fn sealed(&mut self, seal: &Seal) {
         if self.era == seal.era {
             self.sealed = Some(seal.number);
@@ -456,7 +461,7 @@
 }
 
 impl CachedHead {
-    /// Notes what the store has, now that it has confirmed the head.
+    /// Records the state of the stored head, which the store has just confirmed.
     fn confirm(&mut self, now: Instant) {
         self.confirmed_at = now;
         self.stored_first = self.head.first;
