--- a/crates/ledger/src/driver.rs
+++ b/crates/ledger/src/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of one shard: carries out what the shard decides.
+//! The driver of one shard: executes what the shard decides.
 
 use std::sync::{Arc, Weak};
 use std::time::Duration;
@@ -22,10 +22,10 @@
 /// The first pause after a failure of the store.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
 
-/// The longest pause between tries.
+/// The longest pause between attempts.
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// One shard with all that its driver needs.
+/// A shard with the resources of its driver.
 pub(crate) struct Driver {
     pub(crate) number: u16,
     pub(crate) store: Store,
@@ -40,7 +40,7 @@
     pub(crate) weak: Weak<Driver>,
 }
 
-/// Decides and carries out, turn by turn.
+/// Runs the shard: in each turn, delivers its answers and executes its next step.
 pub(crate) async fn run(driver: Arc<Driver>) {
     let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE, driver.seed);
     let eras = driver.store.eras();
@@ -69,7 +69,7 @@
     }
 }
 
-/// Seals frozen generations and deletes segments out of the retention, beside the writes.
+/// Seals frozen generations and deletes segments past the retention, concurrently with the writes.
 pub(crate) async fn maintain(driver: Arc<Driver>) {
     let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE, !driver.seed);
     loop {
@@ -85,7 +85,10 @@
         match done {
             Ok(()) => backoff.reset(),
             Err(error) => {
-                log::debug!("ledger: shard {} could not tidy: {error}.", driver.number);
+                log::debug!(
+                    "ledger: maintenance of shard {} failed: {error}.",
+                    driver.number
+                );
                 sleep(backoff.pause()).await;
             }
         }
@@ -95,7 +98,7 @@
 async fn wait(notify: &Notify, until: Option<Instant>) {
     match until {
         None => notify.notified().await,
-        // In a fixed order, so that a run on a paused clock can be repeated.
+        // Polled in a fixed order, so that runs on a paused clock are reproducible.
         Some(until) => tokio::select! {
             biased;
             () = notify.notified() => {}
@@ -104,7 +107,7 @@
     }
 }
 
-/// Reads the segments that may hold the key of an ask, and queues the ask again.
+/// Reads the segments that may hold the key of a request, and queues the request again.
 async fn probe(driver: Arc<Driver>, mut request: Request, segments: Vec<u64>) {
     let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE, driver.seed);
     let key = request.operation.key();
@@ -117,7 +120,8 @@
                 driver.wake.notify_one();
                 return;
             }
-            // Whether this claim has landed must be found out, however long that takes.
+            // The claim may have been written, so it must be found out whether it was, however long
+            // that takes.
             Err(_) if request.maybe_written => sleep(backoff.pause()).await,
             Err(kind) => {
                 let response = Response::Failed(driver.error(request.operation.step(), kind));
@@ -128,8 +132,8 @@
 }
 
 impl Driver {
-    /// Sends verdicts. A grant that can't be sent is dropped here, and so released; therefore no
-    /// lock may be held.
+    /// Sends responses. A grant that can't be sent is dropped here and thereby released, which
+    /// takes the lock of the shard; so the caller must not hold it.
     fn deliver(&self, answers: Vec<Answer>) {
         for (request, response) in answers {
             self.shard.lock().count.add(&response);
@@ -153,14 +157,14 @@
                 self.head_changed();
             }
             Err(kind) => {
-                log::warn!("ledger: shard {} can't be read: {kind}.", self.number);
+                log::warn!("ledger: loading shard {} failed: {kind}.", self.number);
                 self.shard.lock().load_failed(now, backoff.pause());
                 self.fail_queued(&kind);
             }
         }
     }
 
-    /// Answers all asks at once when waiting can't help.
+    /// Fails all queued requests at once if waiting can't help.
     fn fail_queued(&self, kind: &Kind) {
         if !matches!(kind, Kind::LayoutMismatch(_) | Kind::Garbled(_)) {
             return;
@@ -192,17 +196,20 @@
                     .into_iter()
                     .filter_map(|update| update.reply)
                     .for_each(|reply| {
-                        // Whoever reported may have stopped waiting; the record stands all the same.
+                        // The reporter may have stopped waiting; the record is stored all the same.
                         let _ = reply.send(());
                     });
                 self.head_changed();
             }
             Err(error) if error.is_conflict() => {
-                log::info!("ledger: shard {} was written by another.", self.number);
+                log::info!(
+                    "ledger: write of shard {} conflicted with another write.",
+                    self.number
+                );
                 self.shard.lock().conflicted();
             }
             Err(error) => {
-                log::warn!("ledger: shard {} could not write: {error}.", self.number);
+                log::warn!("ledger: write of shard {} failed: {error}.", self.number);
                 let pause = pause(&error, backoff);
                 let lost = error.may_have_written();
                 self.shard.lock().failed(now, pause, lost);
@@ -227,9 +234,10 @@
         Ok(())
     }
 
-    /// Seals a segment whose number is taken: by these bytes, which the head fixes, or by those of a
-    /// former era of the store, whose write has landed late. In an era after that of the head these
-    /// bytes are the late ones.
+    /// Seals a segment whose number is already taken. The stored bytes are either the same ones,
+    /// since the head fixes them, or those of an earlier era of the store, written by a delayed
+    /// write. If the newest era is past that of the head, the bytes of this seal are the outdated
+    /// ones.
     async fn seal_conflicted(&self, key: &str, seal: &Seal, conflict: Error) -> Result<(), Error> {
         let found = self.store.get(key).await?.ok_or(conflict.clone())?;
         if found.value == seal.bytes {
@@ -239,7 +247,7 @@
             return Err(conflict);
         }
         log::warn!(
-            "ledger: segment {} of shard {} is of a former era of the store and is replaced.",
+            "ledger: replacing segment {} of shard {}, written in an earlier era of the store.",
             seal.number,
             self.number
         );
@@ -255,11 +263,11 @@
         Ok(())
     }
 
-    /// Notes that a claim was given up although it stands in the store.
+    /// Queues the release of a claim that was written although its requester has abandoned it.
     pub(crate) fn release_abandoned(&self, key: Digest, token: Token) {
-        log::info!("ledger: claim {token} was given up and is released.");
+        log::info!("ledger: claim {token} was abandoned by its requester and is released.");
         self.shard.lock().count.released += 1;
-        // A note without a reply is never refused.
+        // An update without a reply is never refused.
         let _ = self.push_update(Change::Release(key, token), None);
     }
 
--- a/crates/ledger/src/load.rs
+++ b/crates/ledger/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading a shard from the store: the layout, the head, the segments.
+//! Loading a shard from the store: the layout, the head, and the segments.
 
 use futures_util::{TryStreamExt, stream};
 use store::{Condition, Error, Object, Store};
@@ -10,13 +10,14 @@
 use crate::head::{Head, decode_segment, layout_key};
 use crate::slot::{Event, Generation};
 
-/// Segments that are read at the same time; a bound for memory and for the platform's rate.
+/// Segments read concurrently; this bounds memory and the load on the platform's rate limit.
 const CONCURRENT_READS: usize = 16;
 
-/// The number of shards, as the store has it.
+/// The number of shards in the store.
 ///
-/// Two daemons with different numbers would look for one key in different shards and would both
-/// grant it. So the first daemon writes the number, and each compares before its first claim.
+/// Two daemons with different numbers would look for a key in different shards, and both would
+/// grant it. So the first daemon writes its number, and each daemon compares its own with it before
+/// its first claim.
 pub(crate) struct Layout {
     key: String,
     shards: u16,
@@ -53,7 +54,8 @@
         Ok(())
     }
 
-    /// Writes our number, unless another daemon is faster, and reads back what stands.
+    /// Writes the number of this daemon unless another has written one, and reads back what is
+    /// stored.
     async fn write_layout(&self, store: &Store) -> Result<Option<Object>, Error> {
         let mine = self.shards.to_string();
         match store.put(&self.key, mine.into(), Condition::Absent).await {
@@ -63,7 +65,7 @@
     }
 }
 
-/// Reads the head, and the keys of the segments that the index lacks.
+/// Reads the head, and indexes the segments that the index lacks.
 pub(crate) async fn head(driver: &Driver) -> Result<(Head, Option<Version>), Kind> {
     driver.layout.check(&driver.store).await?;
     let key = driver.object_keys.head();
@@ -80,8 +82,8 @@
 }
 
 async fn index_segment(driver: &Driver, number: u64) -> Result<(), Kind> {
-    // A segment that the head counts and the store lacks was deleted by another owner since we
-    // read the head. The load fails, and the next one reads a newer head.
+    // Another owner may have deleted the segment since the head was read. The load fails, and the
+    // next one reads a newer head.
     let missing = || Kind::Store(missing_segment(driver, number));
     let generation = read_segment(driver, number).await?.ok_or_else(missing)?;
     driver.shard.lock().index.insert(number, &generation);
@@ -103,10 +105,10 @@
     generation.map(Some).ok_or(Kind::Garbled(key))
 }
 
-/// Reads what segments say of a key, the newest first, up to its newest claim.
+/// Reads the events of a key from segments, the newest first, up to its newest claim.
 ///
-/// Answers `None` when a segment is gone, and has the head loaded anew: either the retention of
-/// another owner has dropped it, or the load will fail.
+/// Returns `None` when a segment is missing, and requests a reload of the head: either another
+/// owner has deleted the segment after the retention, or the reload will fail.
 pub(crate) async fn events(
     driver: &Driver,
     key: Digest,
