--- a/crates/ledger/src/head.rs
+++ b/crates/ledger/src/head.rs
@@ -1,14 +1,15 @@
-//! The head of a shard and its sealed segments, as they stand in the store.
+//! The head of a shard and its sealed segments, as stored.
 //!
-//! A head holds the generation that is written to and, for a while, the one before it:
+//! A head holds the active generation and, for a while, the frozen one before it:
 //!
-//! 1. A batch finds the new generation large and freezes it: it becomes the old one, and its
-//!    segment number is fixed. This rides on an ordinary write of the head.
-//! 2. The frozen generation is written to its segment. Whoever does that writes the same bytes,
-//!    since the head fixes them; so it may be done twice, late, or by another owner after a crash.
-//! 3. A later write of the head drops the old generation and counts its segment in.
+//! 1. When a batch finds the active generation large, it freezes it and thereby fixes its segment
+//!    number. This is part of an ordinary write of the head.
+//! 2. The frozen generation is written to its segment. The head fixes the bytes, so every writer
+//!    writes the same ones; the write may be repeated, late, or done by another owner after a
+//!    crash.
+//! 3. A later write of the head drops the frozen generation and counts its segment.
 //!
-//! At no moment is a claim neither in the head nor in a segment that the head counts.
+//! At every point in time, each claim is in the head or in a segment that the head counts.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -16,18 +17,19 @@
 
 use crate::slot::{Event, Generation};
 
-/// The format that this crate reads and writes.
+/// The version of the encoding that this crate reads and writes.
 const FORMAT: u8 = 1;
 
-/// A shard's head.
+/// The head of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Head {
     format: u8,
     /// Segments below this number are deleted.
     pub(crate) deleted: u64,
-    /// Segments below this number are out of the retention.
+    /// Segments below this number are past the retention.
     pub(crate) first: u64,
-    /// Segments below this number are sealed; the old generation will be this one.
+    /// Segments below this number are sealed; the frozen generation becomes the segment of this
+    /// number.
     pub(crate) next: u64,
     pub(crate) frozen: Option<Generation>,
     pub(crate) active: Generation,
@@ -69,13 +71,13 @@
         std::iter::once(&self.active).chain(&self.frozen)
     }
 
-    /// What the generations say of a key, the newest first.
+    /// The events of a key in the generations, the newest first.
     pub(crate) fn events(&self, key: Digest) -> impl Iterator<Item = Event> {
         self.generations()
             .filter_map(move |generation| generation.event(key))
     }
 
-    /// Whether the release of a claim stands here.
+    /// Whether the head holds the release of the claim with this token.
     pub(crate) fn has_released(&self, key: Digest, token: Token) -> bool {
         let mut events = self.events(key);
         events.any(|event| matches!(event, Event::Release(tokens) if tokens.contains(&token)))
@@ -89,13 +91,13 @@
         .map(Bytes::from)
 }
 
-/// Reads a segment.
+/// Decodes a segment; `None` if it is malformed or of another format.
 pub(crate) fn decode_segment(bytes: &[u8]) -> Option<Generation> {
     let (format, generation): (u8, Generation) = postcard::from_bytes(bytes).ok()?;
     (format == FORMAT).then(|| generation.rebuild())
 }
 
-/// Where a ledger's objects lie in the store.
+/// The store keys of a shard's objects.
 #[derive(Debug, Clone)]
 pub(crate) struct ObjectKeys {
     prefix: String,
@@ -119,12 +121,13 @@
     }
 }
 
-/// The object that fixes the number of shards.
+/// The store key of the object that holds the number of shards.
 pub(crate) fn layout_key(prefix: &str) -> String {
     format!("{prefix}/layout")
 }
 
-/// The shard of a key. The index of segments uses the other half of the key.
+/// The shard of a key. It depends on the low half of the hash; the index of segments uses the high
+/// half.
 pub(crate) fn shard_of(key: Digest, shards: u16) -> u16 {
     let half = key.0 as u64;
     (half % u64::from(shards.max(1))) as u16
--- a/crates/ledger/src/index.rs
+++ b/crates/ledger/src/index.rs
@@ -1,4 +1,4 @@
-//! Which sealed segments may hold a key.
+//! An in-memory index of the sealed segments that may hold a key.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -10,8 +10,8 @@
 
 /// The keys of all sealed segments, eight bytes each.
 ///
-/// Eight bytes of a key are enough to say that no segment holds it. A hit is checked against the
-/// segment itself, so that two keys with the same eight bytes do no harm.
+/// Eight bytes of a key suffice to rule a segment out. A hit is checked against the segment itself,
+/// so a collision of the eight bytes does no harm.
 #[derive(Debug, Default)]
 pub(crate) struct Index {
     segments: BTreeMap<u64, Segment>,
@@ -30,7 +30,7 @@
 
 impl Index {
     pub(crate) fn insert(&mut self, number: u64, generation: &Generation) {
-        // The keys come in their order, and so do their first halves.
+        // The keys are sorted, so their high halves are sorted too, as the binary search requires.
         let prefixes: Vec<u64> = generation.keys().map(prefix).collect();
         self.remove(number);
         self.keys += prefixes.len();
@@ -43,7 +43,7 @@
         self.keys -= removed.map_or(0, |segment| segment.prefixes.len());
     }
 
-    /// Removes all but the segments that a head counts.
+    /// Removes all segments outside the range that a head counts.
     pub(crate) fn retain(&mut self, counted: Range<u64>) {
         let numbers = self.segments.keys().copied();
         let others: Vec<u64> = numbers.filter(|n| !counted.contains(n)).collect();
@@ -67,7 +67,6 @@
         candidates.map(|(number, _)| *number).collect()
     }
 
-    /// The number of keys.
     pub(crate) fn len(&self) -> usize {
         self.keys
     }
--- a/crates/ledger/src/recent.rs
+++ b/crates/ledger/src/recent.rs
@@ -1,8 +1,8 @@
-//! What a shard has written lately, to be written again if the store loses it.
+//! Recent writes of a shard, which are replayed if the store loses them.
 //!
-//! A store that comes back from an older copy has lost the claims of its last seconds. Whoever has
-//! written or read them still knows them; else their keys would be granted again, and their requests
-//! run twice.
+//! A store restored from an older copy has lost the claims of its last seconds. A process that has
+//! written or read them still knows them. Without the replay, their keys would be granted again and
+//! their requests run twice.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,48 +15,49 @@
 use crate::request::Change;
 use crate::slot::{Event, Generation, fold};
 
-/// How long a write is remembered.
+/// How long a write is kept for replay.
 pub(crate) const WINDOW: Duration = Duration::from_secs(60);
 
-/// Most writes that are remembered, the last ones.
+/// Maximum number of writes kept for replay; the oldest are dropped first.
 const MAX_WRITES: usize = 20_000;
 
-/// One part of a batch that the store has confirmed.
+/// A claim or a change that the store has confirmed.
 #[derive(Debug, Clone)]
 pub(crate) enum Written {
     Claim(Claim, Moment),
     Change(Change, Moment),
 }
 
-/// Most heads of former eras that are kept until the store holds again what they held.
+/// Maximum number of heads of earlier eras that are kept until their contents are replayed.
 const MAX_SNAPSHOTS: usize = 3;
 
-/// A head as it was known when the store came back from an older copy.
+/// The cached head at the time when the store was restored from an older copy.
 #[derive(Debug)]
 pub(crate) struct Snapshot {
     pub(crate) head: Head,
-    /// Claims in it that were being written; they are asked for again, or given up.
+    /// Tokens of claims whose write was in flight. Their requests are queued again or abandoned, so
+    /// they are not replayed.
     pub(crate) unconfirmed: Vec<Token>,
 }
 
-/// The writes of the last seconds, in their order.
+/// The most recent writes, the oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct Recent {
     writes: VecDeque<(Instant, Written)>,
-    /// The last one first.
+    /// The newest first.
     snapshots: VecDeque<Snapshot>,
-    /// The store may have lost them.
+    /// Whether the store may have lost them.
     is_pending: bool,
 }
 
-/// How far writing again has come.
+/// The progress of a replay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Replay {
     /// The head lacks nothing.
     Nothing,
-    /// The head has taken all that it lacked.
+    /// All that the head lacked was added.
     All,
-    /// The head is full before all are in it.
+    /// The head became full before all was added.
     Part,
 }
 
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Notes that the store has come back from an older copy.
+    /// Records that the store was restored from an older copy.
     pub(crate) fn rolled_back(&mut self, now: Instant, snapshot: Option<Snapshot>) {
         self.prune(now);
         if let Some(snapshot) = snapshot {
@@ -89,13 +90,13 @@
         self.is_pending
     }
 
-    /// Notes that the store holds them again.
+    /// Records that the store holds all of them again.
     pub(crate) fn confirm(&mut self) {
         self.is_pending = false;
         self.snapshots.clear();
     }
 
-    /// Adds to `head` what it lacks of the writes, as long as it has fewer bytes than `most`.
+    /// Adds the writes that `head` lacks, as long as it has fewer than `max_bytes`.
     pub(crate) fn replay(&self, head: &mut Head, max_bytes: usize) -> Replay {
         let mut replay = Replay::Nothing;
         for (_, written) in &self.writes {
@@ -117,7 +118,7 @@
         replay
     }
 
-    /// Adds a write to `head`; whether it lacked that.
+    /// Adds a write to `head`; returns whether `head` lacked it.
     fn replay_write(&self, head: &mut Head, written: &Written) -> bool {
         let key = written.key();
         let before = head.active.event(key);
@@ -129,13 +130,13 @@
         head.active.event(key) != before
     }
 
-    /// Adds a claim, unless its key is held: by this one, or by one that came after it.
+    /// Adds a claim, unless its key is held by the same claim or by a later one.
     fn replay_claim(&self, head: &mut Head, claim: &Claim, at: Moment) {
         match fold(head.events(claim.key)) {
             None => head.active.claim(claim, at),
             Some(record) if self.has_written(claim.key, record.token) => {}
             Some(record) => log::error!(
-                "ledger: claim {} of key {} was lost, and the key granted to {}.",
+                "ledger: claim {} of key {} was lost by the store, and its key was granted to {}.",
                 claim.token,
                 claim.key,
                 record.token,
@@ -150,7 +151,7 @@
 }
 
 impl Snapshot {
-    /// What the head said of each key, but for claims that were being written.
+    /// The events of the head, except for claims whose write was in flight.
     fn events(&self) -> impl Iterator<Item = (Digest, Event, Moment)> {
         let of = |generation: &Generation| {
             let events = generation
@@ -169,7 +170,8 @@
     }
 }
 
-/// Adds to `head` what was said of a key until `newest` in a former era; whether it lacked that.
+/// Adds an event of an earlier era to `head`; returns whether `head` lacked it. `newest` is the
+/// time of the newest event in its generation.
 fn replay_event(head: &mut Head, (key, event, newest): (Digest, Event, Moment)) -> bool {
     match (event, fold(head.events(key))) {
         (Event::Claim(record), None) if !head.has_released(key, record.token) => {
--- a/crates/ledger/src/slot.rs
+++ b/crates/ledger/src/slot.rs
@@ -1,4 +1,4 @@
-//! The compact form of claims, ends and releases, and the generations that hold them.
+//! Claims, ends and releases in compact form, and the generations that hold them.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,29 +7,29 @@
 
 use crate::claim::{Claim, Ended, Moment, Record, body_part};
 
-/// 16 bytes as they are; a varint would take 19 for a random number.
+/// 16 bytes without varint encoding, which would take 19 for a random number.
 type IdBytes = [u8; 16];
 
-/// The place of a name in the table of its generation.
+/// The index of a name in the table of its generation.
 type NameIndex = u32;
 
-/// Released tokens that are kept of a key. Resends of one key that an entry gives up together, for
-/// a lost link to their owner, are mostly fewer.
+/// Maximum number of released tokens kept per key. When an entry loses the link to an owner, it
+/// abandons its resends of one key together; these are mostly fewer.
 pub(crate) const RELEASED_TOKENS: usize = 4;
 
-/// What one generation holds of a key.
+/// The state of a key in one generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 enum Slot {
     /// The key was claimed in this generation.
     Claim(StoredClaim),
-    /// A claim of an older generation has ended.
+    /// A claim of an earlier generation has ended.
     End(IdBytes, StoredEnd),
-    /// The claims of these tokens were released, the last one first.
+    /// The claims with these tokens were released, the newest release first.
     ///
-    /// A release can be written twice when its first answer was lost. Several tokens are kept, so
-    /// that such a late repetition does not push the newest release out and leave the key dead.
-    /// And a release can overtake its claim, which waits at another owner: as long as its token is
-    /// kept here, that claim is refused when it comes.
+    /// A release may be written twice if the result of its first write was lost. Several tokens are
+    /// kept, so that such a late duplicate does not displace the newest release and leave the key
+    /// taken. A release may also overtake its claim, which is queued at another owner: as long as
+    /// its token is kept here, that claim is refused when it arrives.
     Release([IdBytes; RELEASED_TOKENS]),
 }
 
@@ -52,7 +52,7 @@
     status: u16,
 }
 
-/// An outcome as one byte.
+/// An outcome in one byte.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 enum OutcomeCode {
     Ran,
@@ -61,7 +61,7 @@
     AlreadyRun,
 }
 
-/// What a generation says of a key, free of its table of names.
+/// The event of a key in a generation, with its names resolved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Event {
     Claim(Record),
@@ -69,13 +69,13 @@
     Release([Token; RELEASED_TOKENS]),
 }
 
-/// Bytes that a slot takes at most, without its names.
+/// Maximum encoded size of a slot in bytes, without its names.
 const MAX_SLOT_BYTES: usize = 84;
 
-/// Bytes that a name takes besides its text.
+/// Encoded size of a name in bytes, in addition to its text.
 const NAME_OVERHEAD_BYTES: usize = 2;
 
-/// Claims, ends and releases between two rolls of a head. It becomes one sealed segment.
+/// The claims, ends and releases between two freezes of a head. It becomes one sealed segment.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Generation {
     names: Vec<String>,
@@ -88,7 +88,7 @@
 }
 
 impl Generation {
-    /// Builds what is not stored; to be called after decoding.
+    /// Rebuilds the fields that are not stored; must be called after decoding.
     pub(crate) fn rebuild(mut self) -> Generation {
         let name_indices = self.names.iter().zip(0..);
         self.name_indices = name_indices.map(|(name, at)| (name.clone(), at)).collect();
@@ -109,7 +109,7 @@
         self.slots.len()
     }
 
-    /// When the newest claim or end was added.
+    /// The time of the newest claim, end or release.
     pub(crate) fn newest(&self) -> Moment {
         self.newest
     }
@@ -120,7 +120,7 @@
             .map(|bytes| Digest(u128::from_be_bytes(*bytes)))
     }
 
-    /// Adds a claim; what the generation held of the key before is settled by then.
+    /// Adds a claim. The caller has resolved the earlier state of the key in this generation.
     pub(crate) fn claim(&mut self, claim: &Claim, at: Moment) {
         self.insert(&Record {
             key: claim.key,
@@ -134,7 +134,7 @@
         });
     }
 
-    /// Adds a claim as it stood in another generation, with its end.
+    /// Adds a claim of another generation, with its end.
     pub(crate) fn insert(&mut self, record: &Record) {
         let claim = StoredClaim {
             body: record.body,
@@ -166,17 +166,17 @@
                 end: claim.end.or(Some(end)),
                 ..*claim
             }),
-            // Another try has claimed the key since, or the end is recorded already.
+            // Another attempt has claimed the key since, or the end is recorded already.
             Some(Slot::Claim(_) | Slot::End(..)) => return,
             Some(Slot::Release(..)) | None => Slot::End(bytes, end),
         };
         self.put(key, slot, ended.at);
     }
 
-    /// Adds the release of the claim with this token, unless the key was claimed anew since.
+    /// Adds the release of the claim with this token, unless the key was claimed again since.
     ///
-    /// The slot stays as a mark, since an older generation may hold an older claim of the key: to
-    /// remove the slot would bring that claim back.
+    /// The slot is kept as a tombstone, because an earlier generation may hold an earlier claim of
+    /// the key: removing the slot would restore that claim.
     pub(crate) fn release(&mut self, key: Digest, token: Token, at: Moment) {
         let bytes = token.0.to_be_bytes();
         let slot = match self.slots.get(&key.0.to_be_bytes()) {
@@ -214,7 +214,7 @@
         if let Some(index) = self.name_indices.get(text) {
             return *index;
         }
-        // A generation stays far below a megabyte, and so does its number of names.
+        // A generation is far smaller than a megabyte, so the number of its names fits.
         let index = NameIndex::try_from(self.names.len()).unwrap_or(NameIndex::MAX);
         self.names.push(text.to_string());
         self.name_indices.insert(text.to_string(), index);
@@ -251,10 +251,10 @@
     }
 }
 
-/// Folds what the generations say of a key, the newest first, into its record.
+/// Folds the events of a key, the newest first, into its record.
 ///
-/// The newest claim counts. Ends and releases count by their token, so that a late release of an
-/// earlier try can't free the key of a later one.
+/// The newest claim counts. Ends and releases apply by token, so that a late release of an earlier
+/// attempt can't free the key of a later one.
 pub(crate) fn fold(events: impl IntoIterator<Item = Event>) -> Option<Record> {
     let mut ends = Vec::new();
     let mut released = Vec::new();
