--- a/crates/ledger/src/dump.rs
+++ b/crates/ledger/src/dump.rs
@@ -1,10 +1,10 @@
-//! What a ledger shows of itself on request.
+//! The state of a ledger for diagnosis.
 
 use serde::Serialize;
 use unit::{Instance, Version};
 
-use crate::ask::Verdict;
 use crate::claim::Claimed;
+use crate::request::Response;
 use crate::shard::Shard;
 
 /// The state of a ledger.
@@ -23,70 +23,70 @@
     pub number: u16,
     /// The version of the head, where it is loaded and written.
     pub version: Option<Version>,
-    /// Asks that wait.
+    /// Claims and lookups in the queue.
     pub queued: usize,
-    /// Ends and releases that wait.
+    /// Ends and releases that wait to be written.
     pub notes: usize,
-    /// Claims in the write that is on its way.
+    /// Claims in the write that is in flight.
     pub writing: usize,
     /// Keys in the head.
     pub head_keys: usize,
-    /// An upper bound for the size of the head.
+    /// An upper bound for the encoded size of the head in bytes.
     pub head_bytes: usize,
     /// Keys in the sealed segments.
     pub sealed_keys: usize,
-    /// The first segment within the retention.
+    /// The number of the first segment within the retention.
     pub first: u64,
-    /// The segment after the last sealed one.
+    /// The number of the next segment to be sealed.
     pub next: u64,
-    /// How long the store has failed.
+    /// How long the store has been failing, in milliseconds; `None` when it is not.
     pub failing_ms: Option<u64>,
-    /// What was counted since the start.
+    /// Counters since the start.
     pub count: Count,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Count {
     /// Claims granted.
     pub granted: u64,
-    /// Claims told that their key runs.
+    /// Claims answered that their key is running.
     pub running: u64,
-    /// Claims told that their key is done.
+    /// Claims answered that their key is done.
     pub done: u64,
     /// Claims of a known key with another body.
     pub mismatch: u64,
-    /// Asks refused at once: queue full, store down, too many keys.
+    /// Claims and lookups refused at once: queue full, store down, too many keys.
     pub refused: u64,
-    /// Asks that failed later.
+    /// Claims and lookups that failed after they were queued.
     pub failed: u64,
-    /// Claims given up before they were written.
+    /// Claims abandoned by their requester before they were written.
     pub given_up: u64,
-    /// Claims given up although they were written, and released.
+    /// Claims abandoned by their requester after they were written, and released.
     pub released: u64,
     /// Head writes sent.
     pub writes: u64,
     /// Claims in the writes that the store confirmed.
     pub claims: u64,
-    /// Writes that met another version.
+    /// Head writes that failed because of another version.
     pub conflicts: u64,
-    /// Writes whose answer was lost.
+    /// Head writes whose result is unknown.
     pub lost: u64,
     /// Heads loaded.
     pub loads: u64,
-    /// Asks for which sealed segments were read.
+    /// Claims and lookups for which sealed segments were read.
     pub probes: u64,
 }
 
 impl Count {
-    pub(crate) fn add(&mut self, verdict: &Verdict) {
-        let field = match verdict {
-            Verdict::Claimed(Claimed::Granted) => &mut self.granted,
-            Verdict::Claimed(Claimed::Running(_)) => &mut self.running,
-            Verdict::Claimed(Claimed::Done(_)) => &mut self.done,
-            Verdict::Claimed(Claimed::Mismatch) => &mut self.mismatch,
-            Verdict::Failed(_) => &mut self.failed,
-            Verdict::Found(_) => return,
+    pub(crate) fn add(&mut self, response: &Response) {
+        let field = match response {
+            Response::Claimed(Claimed::Granted) => &mut self.granted,
+            Response::Claimed(Claimed::Running(_)) => &mut self.running,
+            Response::Claimed(Claimed::Done(_)) => &mut self.done,
+            Response::Claimed(Claimed::Mismatch) => &mut self.mismatch,
+            Response::Failed(_) => &mut self.failed,
+            Response::Found(_) => return,
         };
         *field += 1;
     }
@@ -94,20 +94,25 @@
 
 impl Shard {
     pub(crate) fn dump(&self, number: u16, now: tokio::time::Instant) -> ShardDump {
-        let known = self.known.as_ref();
-        let failing = self.failing.map(|at| now.saturating_duration_since(at));
+        let cached = self.cached.as_ref();
+        let failing = self
+            .failing_since
+            .map(|at| now.saturating_duration_since(at));
         let ms = |span: std::time::Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
         ShardDump {
             number,
-            version: known.and_then(|known| known.version),
+            version: cached.and_then(|cached| cached.version),
             queued: self.queue.len(),
-            notes: self.notes.len(),
-            writing: self.flight.as_ref().map_or(0, |flight| flight.asks.len()),
-            head_keys: known.map_or(0, |known| known.head.len()),
-            head_bytes: known.map_or(0, |known| known.head.weight()),
+            notes: self.updates.len(),
+            writing: self
+                .in_flight
+                .as_ref()
+                .map_or(0, |in_flight| in_flight.requests.len()),
+            head_keys: cached.map_or(0, |cached| cached.head.len()),
+            head_bytes: cached.map_or(0, |cached| cached.head.size_bound()),
             sealed_keys: self.index.len(),
-            first: known.map_or(0, |known| known.head.first),
-            next: known.map_or(0, |known| known.head.next),
+            first: cached.map_or(0, |cached| cached.head.first),
+            next: cached.map_or(0, |cached| cached.head.next),
             failing_ms: failing.map(ms),
             count: self.count,
         }
--- a/crates/ledger/src/recent.rs
+++ b/crates/ledger/src/recent.rs
@@ -1,8 +1,8 @@
-//! What a shard has written lately, to be written again if the store loses it.
+//! Recent writes of a shard, which are replayed if the store loses them.
 //!
-//! A store that comes back from an older copy has lost the claims of its last seconds. Whoever has
-//! written or read them still knows them; else their keys would be granted again, and their requests
-//! run twice.
+//! A store restored from an older copy has lost the claims of its last seconds. A process that has
+//! written or read them still knows them. Without the replay, their keys would be granted again and
+//! their requests run twice.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,53 +10,54 @@
 use tokio::time::Instant;
 use unit::{Digest, Token};
 
-use crate::ask::What;
 use crate::claim::{Claim, Moment, Record};
 use crate::head::Head;
-use crate::slot::{Generation, Piece, fold};
+use crate::request::Change;
+use crate::slot::{Event, Generation, fold};
 
-/// How long a write is remembered.
-pub(crate) const KEPT: Duration = Duration::from_secs(60);
+/// How long a write is kept for replay.
+pub(crate) const WINDOW: Duration = Duration::from_secs(60);
 
-/// Most writes that are remembered, the last ones.
-const MOST: usize = 20_000;
+/// Maximum number of writes kept for replay; the oldest are dropped first.
+const MAX_WRITES: usize = 20_000;
 
-/// One part of a batch that the store has confirmed.
+/// A claim or a change that the store has confirmed.
 #[derive(Debug, Clone)]
 pub(crate) enum Written {
     Claim(Claim, Moment),
-    Note(What, Moment),
+    Change(Change, Moment),
 }
 
-/// Most heads of former eras that are kept until the store holds again what they held.
-const FORMERS: usize = 3;
+/// Maximum number of heads of earlier eras that are kept until their contents are replayed.
+const MAX_SNAPSHOTS: usize = 3;
 
-/// A head as it was known when the store came back from an older copy.
+/// The cached head at the time when the store was restored from an older copy.
 #[derive(Debug)]
-pub(crate) struct Former {
+pub(crate) struct Snapshot {
     pub(crate) head: Head,
-    /// Claims in it that were being written; they are asked for again, or given up.
-    pub(crate) open: Vec<Token>,
+    /// Tokens of claims whose write was in flight. Their requests are queued again or abandoned, so
+    /// they are not replayed.
+    pub(crate) unconfirmed: Vec<Token>,
 }
 
-/// The writes of the last seconds, in their order.
+/// The most recent writes, the oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct Recent {
     writes: VecDeque<(Instant, Written)>,
-    /// The last one first.
-    formers: VecDeque<Former>,
-    /// The store may have lost them.
+    /// The newest first.
+    snapshots: VecDeque<Snapshot>,
+    /// Whether the store may have lost them.
     is_pending: bool,
 }
 
-/// How far writing again has come.
+/// The progress of a replay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Replay {
     /// The head lacks nothing.
     Nothing,
-    /// The head has taken all that it lacked.
+    /// All that the head lacked was added.
     All,
-    /// The head is full before all are in it.
+    /// The head became full before all was added.
     Part,
 }
 
@@ -67,47 +68,49 @@
     }
 
     fn prune(&mut self, now: Instant) {
-        let is_old = |at: Instant| now.saturating_duration_since(at) > KEPT;
-        while self.writes.len() >= MOST || self.writes.front().is_some_and(|(at, _)| is_old(*at)) {
+        let is_old = |at: Instant| now.saturating_duration_since(at) > WINDOW;
+        while self.writes.len() >= MAX_WRITES
+            || self.writes.front().is_some_and(|(at, _)| is_old(*at))
+        {
             self.writes.pop_front();
         }
     }
 
-    /// Notes that the store has come back from an older copy.
-    pub(crate) fn rolled_back(&mut self, now: Instant, former: Option<Former>) {
+    /// Records that the store was restored from an older copy.
+    pub(crate) fn rolled_back(&mut self, now: Instant, snapshot: Option<Snapshot>) {
         self.prune(now);
-        if let Some(former) = former {
-            self.formers.push_front(former);
+        if let Some(snapshot) = snapshot {
+            self.snapshots.push_front(snapshot);
         }
-        self.formers.truncate(FORMERS);
-        self.is_pending = !self.writes.is_empty() || !self.formers.is_empty();
+        self.snapshots.truncate(MAX_SNAPSHOTS);
+        self.is_pending = !self.writes.is_empty() || !self.snapshots.is_empty();
     }
 
     pub(crate) fn is_pending(&self) -> bool {
         self.is_pending
     }
 
-    /// Notes that the store holds them again.
+    /// Records that the store holds all of them again.
     pub(crate) fn confirm(&mut self) {
         self.is_pending = false;
-        self.formers.clear();
+        self.snapshots.clear();
     }
 
-    /// Adds to `head` what it lacks of the writes, as long as it has fewer bytes than `most`.
-    pub(crate) fn replay(&self, head: &mut Head, most: usize) -> Replay {
+    /// Adds the writes that `head` lacks, as long as it has fewer than `max_bytes`.
+    pub(crate) fn replay(&self, head: &mut Head, max_bytes: usize) -> Replay {
         let mut replay = Replay::Nothing;
         for (_, written) in &self.writes {
-            if head.weight() >= most {
+            if head.size_bound() >= max_bytes {
                 return Replay::Part;
             }
-            if self.rewrite(head, written) {
+            if self.replay_write(head, written) {
                 replay = Replay::All;
             }
         }
-        for said in self.formers.iter().flat_map(Former::pieces) {
-            if restore(head, said) {
+        for event in self.snapshots.iter().flat_map(Snapshot::events) {
+            if replay_event(head, event) {
                 replay = Replay::All;
-                if head.weight() >= most {
+                if head.size_bound() >= max_bytes {
                     return Replay::Part;
                 }
             }
@@ -115,25 +118,25 @@
         replay
     }
 
-    /// Adds a write to `head`; whether it lacked that.
-    fn rewrite(&self, head: &mut Head, written: &Written) -> bool {
+    /// Adds a write to `head`; returns whether `head` lacked it.
+    fn replay_write(&self, head: &mut Head, written: &Written) -> bool {
         let key = written.key();
-        let before = head.new.piece(key);
+        let before = head.active.event(key);
         match written {
-            Written::Claim(claim, at) => self.claim(head, claim, *at),
-            Written::Note(What::End(end), _) => head.new.end(key, end.token, &end.ended()),
-            Written::Note(What::Free(_, token), at) => head.new.free(key, *token, *at),
+            Written::Claim(claim, at) => self.replay_claim(head, claim, *at),
+            Written::Change(Change::End(end), _) => head.active.end(key, end.token, &end.ended()),
+            Written::Change(Change::Release(_, token), at) => head.active.release(key, *token, *at),
         }
-        head.new.piece(key) != before
+        head.active.event(key) != before
     }
 
-    /// Adds a claim, unless its key is held: by this one, or by one that came after it.
-    fn claim(&self, head: &mut Head, claim: &Claim, at: Moment) {
-        match fold(head.pieces(claim.key)) {
-            None => head.new.take(claim, at),
+    /// Adds a claim, unless its key is held by the same claim or by a later one.
+    fn replay_claim(&self, head: &mut Head, claim: &Claim, at: Moment) {
+        match fold(head.events(claim.key)) {
+            None => head.active.claim(claim, at),
             Some(record) if self.has_written(claim.key, record.token) => {}
             Some(record) => log::error!(
-                "ledger: claim {} of key {} was lost, and the key granted to {}.",
+                "ledger: claim {} of key {} was lost by the store, and its key was granted to {}.",
                 claim.token,
                 claim.key,
                 record.token,
@@ -147,45 +150,48 @@
     }
 }
 
-impl Former {
-    /// What the head said of each key, but for claims that were being written.
-    fn pieces(&self) -> impl Iterator<Item = (Digest, Piece, Moment)> {
-        let of = |held: &Generation| {
-            let pieces = held
+impl Snapshot {
+    /// The events of the head, except for claims whose write was in flight.
+    fn events(&self) -> impl Iterator<Item = (Digest, Event, Moment)> {
+        let of = |generation: &Generation| {
+            let events = generation
                 .keys()
-                .filter_map(|key| Some((key, held.piece(key)?, held.newest())));
-            pieces.collect::<Vec<_>>()
+                .filter_map(|key| Some((key, generation.event(key)?, generation.newest())));
+            events.collect::<Vec<_>>()
         };
-        let pieces = self.head.generations().flat_map(of);
-        let is_open = |piece: &Piece| {
-            let Piece::Claim(Record { token, .. }) = piece else {
+        let events = self.head.generations().flat_map(of);
+        let is_unconfirmed = |event: &Event| {
+            let Event::Claim(Record { token, .. }) = event else {
                 return false;
             };
-            self.open.contains(token)
+            self.unconfirmed.contains(token)
         };
-        pieces.filter(move |(_, piece, _)| !is_open(piece))
+        events.filter(move |(_, event, _)| !is_unconfirmed(event))
     }
 }
 
-/// Adds to `head` what was said of a key until `newest` in a former era; whether it lacked that.
-fn restore(head: &mut Head, (key, piece, newest): (Digest, Piece, Moment)) -> bool {
-    match (piece, fold(head.pieces(key))) {
-        (Piece::Claim(record), None) if !head.has_released(key, record.token) => {
-            head.new.insert(&record);
+/// Adds an event of an earlier era to `head`; returns whether `head` lacked it. `newest` is the
+/// time of the newest event in its generation.
+fn replay_event(head: &mut Head, (key, event, newest): (Digest, Event, Moment)) -> bool {
+    match (event, fold(head.events(key))) {
+        (Event::Claim(record), None) if !head.has_released(key, record.token) => {
+            head.active.insert(&record);
         }
         (
-            Piece::Claim(Record {
+            Event::Claim(Record {
                 token,
                 end: Some(end),
                 ..
             })
-            | Piece::End(token, end),
-            Some(held),
-        ) if held.token == token && held.end.is_none() => {
-            head.new.end(key, token, &end);
+            | Event::End(token, end),
+            Some(current),
+        ) if current.token == token && current.end.is_none() => {
+            head.active.end(key, token, &end);
         }
-        (Piece::Free(tokens), Some(held)) if held.end.is_none() && tokens.contains(&held.token) => {
-            head.new.free(key, held.token, newest);
+        (Event::Release(tokens), Some(current))
+            if current.end.is_none() && tokens.contains(&current.token) =>
+        {
+            head.active.release(key, current.token, newest);
         }
         _ => return false,
     }
@@ -196,7 +202,7 @@
     fn key(&self) -> Digest {
         match self {
             Written::Claim(claim, _) => claim.key,
-            Written::Note(what, _) => what.key(),
+            Written::Change(change, _) => change.key(),
         }
     }
 
