--- a/bench/src/capacity/roster.rs
+++ b/bench/src/capacity/roster.rs
@@ -150,8 +150,12 @@
         shortest(ROUNDS, || shared.with(|roster| roster.review(now))),
         changed,
         shortest(ROUNDS, || shared.with(|roster| roster.is_watcher())),
-        shortest(ROUNDS, || shared.with(|roster| roster.beats())),
-        shortest(ROUNDS, || shared.with(|roster| roster.relay(7, me))),
+        shortest(ROUNDS, || {
+            shared.with(|roster| roster.heartbeat_receivers())
+        }),
+        shortest(ROUNDS, || {
+            shared.with(|roster| roster.relay_children(7, me))
+        }),
         shortest(ROUNDS, || {
             shared.with(|roster| roster.apply_listing(now, records, version))
         }),
@@ -176,7 +180,7 @@
     let mut ours = filled(now, records);
     let theirs = filled(now, &records[..records.len() - 1]);
     let mut bytes = wire::codec::pack(ours.summary())?.len();
-    for bucket in theirs.missing(ours.summary()) {
+    for bucket in theirs.differing_buckets(ours.summary()) {
         let page = theirs.bucket(bucket);
         bytes += wire::codec::pack(&page)?.len();
         bytes += wire::codec::pack(&ours.exchange(now, bucket, page).reply)?.len();
--- a/crates/appleshore/src/directory.rs
+++ b/crates/appleshore/src/directory.rs
@@ -62,7 +62,7 @@
         let found = self.snapshot.read().names.get(fingerprint).cloned();
         found.or_else(|| {
             self.roster
-                .with(|roster| Some(roster.known(fingerprint)?.instance.clone()))
+                .with(|roster| Some(roster.by_fingerprint(fingerprint)?.instance.clone()))
         })
     }
 
--- a/crates/appleshore/src/inbound.rs
+++ b/crates/appleshore/src/inbound.rs
@@ -57,7 +57,7 @@
     async fn stream(&self, mut stream: Stream) -> Result<(), Error> {
         let frame = stream.receiver.recv().await?;
         let peer = stream.receiver.peer().clone();
-        self.roster.heard(Instant::now(), &peer);
+        self.roster.mark_seen(Instant::now(), &peer);
         match frame {
             Some(Frame::Note(note)) => self.note(&peer, stream.sender, note).await,
             // An instance that is held for gone may speak of itself, and have nothing run.
--- a/crates/appleshore/src/keeper.rs
+++ b/crates/appleshore/src/keeper.rs
@@ -95,7 +95,7 @@
                 Ok(link) => {
                     pause = FIRST_PAUSE;
                     log::info!("links: peer={instance} address={} up.", peer.address);
-                    self.roster.heard(Instant::now(), &instance);
+                    self.roster.mark_seen(Instant::now(), &instance);
                     self.entry.set_cut(&instance, false);
                     self.watch(&instance, &link).await;
                     log::warn!("links: peer={instance} address={} lost.", peer.address);
--- a/crates/appleshore/src/profile.rs
+++ b/crates/appleshore/src/profile.rs
@@ -98,10 +98,10 @@
 /// Links tell at once when a peer has gone, and heartbeats make up for what they don't.
 fn policy() -> roster::Policy {
     roster::Policy::builder()
-        .beat(Duration::from_secs(1))
-        .suspect(Duration::from_secs(4))
-        .remove(Duration::from_secs(30))
-        .quiet(Duration::from_secs(2))
+        .heartbeat_interval(Duration::from_secs(1))
+        .suspect_after(Duration::from_secs(4))
+        .remove_after(Duration::from_secs(30))
+        .update_timeout(Duration::from_secs(2))
         .watchers(2)
         .build()
 }
--- a/crates/feed/src/announce.rs
+++ b/crates/feed/src/announce.rs
@@ -31,10 +31,14 @@
         // The record is given once; before anybody is known it would be lost.
         let own = inner.with(|roster| {
             let known = roster.peers().next().is_some();
-            if known { roster.own() } else { None }
+            if known {
+                roster.take_announcement()
+            } else {
+                None
+            }
         });
         if let Some(record) = own {
-            let observers = inner.with(|roster| roster.beats());
+            let observers = inner.with(|roster| roster.heartbeat_receivers());
             relay::spread(inner, vec![record], &observers).await;
         }
         sleep(LOOK).await;
@@ -65,12 +69,12 @@
 /// Writes the own record if the roster says that it is due.
 pub(crate) async fn write_due(inner: &Inner) -> Result<(), Error> {
     let mut object = inner.object.lock().await;
-    let due = inner.with(|roster| roster.write(Instant::now()));
+    let due = inner.with(|roster| roster.due_write(Instant::now()));
     let Some(record) = due else {
         return Ok(());
     };
     if write(inner, &mut object, &record).await? {
-        inner.with(|roster| roster.written(&record));
+        inner.with(|roster| roster.write_confirmed(&record));
     }
     Ok(())
 }
--- a/crates/feed/src/fallback.rs
+++ b/crates/feed/src/fallback.rs
@@ -56,7 +56,7 @@
     loop {
         sleep(wait + inner.jitter(wait)).await;
         let (heard, met) = (inner.count.received_in_all(), (inner.mistaken)());
-        let knows_others = inner.with(|roster| !roster.beats().is_empty());
+        let knows_others = inner.with(|roster| !roster.heartbeat_receivers().is_empty());
         let is_deaf = knows_others && heard == received;
         let is_stale = is_start || met > mistaken;
         (is_start, received, mistaken) = (false, heard, met);
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -150,7 +150,7 @@
             return;
         }
         let merged = self.inner.with(|roster| roster.merge(now, record.clone()));
-        self.inner.roster.heard(now, &record.instance);
+        self.inner.roster.mark_seen(now, &record.instance);
         let lacks = self.inner.current.version() == Version::NONE;
         if merged != roster::Merge::Old || lacks {
             self.inner.later(Job::Probe(record.instance.clone()));
@@ -256,7 +256,7 @@
         let answer = answer.unwrap_or_else(|_| Err(Error::Silent(to.clone())));
         let answer = answer.inspect_err(|_| self.count.failed(kind))?;
         self.count.received(kind, answer.len());
-        self.roster.heard(Instant::now(), to);
+        self.roster.mark_seen(Instant::now(), to);
         Ok(wire::codec::unpack(&answer)?)
     }
 
--- a/crates/feed/src/fetch.rs
+++ b/crates/feed/src/fetch.rs
@@ -158,7 +158,7 @@
 /// Asks the observers what they hold, if no other holder is known.
 fn look_around(inner: &Inner) {
     if inner.fetch.lock().holders.is_empty() {
-        for observer in inner.with(|roster| roster.beats()) {
+        for observer in inner.with(|roster| roster.heartbeat_receivers()) {
             inner.later(Job::Probe(observer));
         }
     }
--- a/crates/feed/src/leave.rs
+++ b/crates/feed/src/leave.rs
@@ -48,12 +48,14 @@
 fn change(inner: &Inner, with: impl FnOnce(&mut Roster)) -> Record {
     inner.with(|roster| {
         with(roster);
-        roster.own().unwrap_or_else(|| roster.own_record().clone())
+        roster
+            .take_announcement()
+            .unwrap_or_else(|| roster.own_record().clone())
     })
 }
 
 async fn tell(inner: &Inner, record: &Record) {
-    let mut others = inner.with(|roster| roster.beats());
+    let mut others = inner.with(|roster| roster.heartbeat_receivers());
     others.extend((inner.linked)());
     let me = &record.instance;
     others.retain(|other| other != me);
--- a/crates/feed/src/message.rs
+++ b/crates/feed/src/message.rs
@@ -50,7 +50,7 @@
 /// Records on their way down a zone's tree.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// Orders the tree; see [`roster::Roster::relay`]. The same for the same records.
+    /// Orders the tree; see [`roster::Roster::relay_children`]. The same for the same records.
     pub seed: u64,
     /// The records.
     pub records: Vec<Record>,
--- a/crates/feed/src/note.rs
+++ b/crates/feed/src/note.rs
@@ -21,7 +21,7 @@
     let message: Message = wire::codec::unpack(payload)?;
     let kind = message.kind();
     inner.count.received(kind, payload.len());
-    inner.roster.heard(Instant::now(), from);
+    inner.roster.mark_seen(Instant::now(), from);
     let answer = wire::codec::pack(&take(inner, from, message)?)?;
     inner.count.sent(kind, answer.len());
     Ok(answer)
@@ -47,8 +47,8 @@
     let era = inner.store.eras().newest();
     inner.with(|roster| {
         // The sender gets our digest with the answer, and compares.
-        roster.beaten(now, from, beat);
-        roster.beat(rules, era)
+        roster.heartbeat_received(now, from, beat);
+        roster.heartbeat(rules, era)
     })
 }
 
@@ -87,7 +87,7 @@
         return Err(Error::Improper(from.clone(), cause));
     }
     let now = Instant::now();
-    if let Finding::Removed(record) = inner.with(|roster| roster.observe(now, &vote)) {
+    if let Finding::Removed(record) = inner.with(|roster| roster.count_vote(now, &vote)) {
         inner.later(Job::Removed(vec![record]));
     }
     Ok(Answer::Done)
--- a/crates/feed/src/platform.rs
+++ b/crates/feed/src/platform.rs
@@ -34,7 +34,7 @@
     find_own(inner, &listing.objects, &records).await;
     let now = Instant::now();
     let found = inner.with(|roster| {
-        roster.fed(now);
+        roster.update_received(now);
         match consistency {
             Consistency::Linearizable => roster.apply_listing(now, &records, listing.revision),
             Consistency::Serializable => roster.apply_old_listing(now, &records),
@@ -67,7 +67,7 @@
         }
         drop(object);
         if found.same_place(&own) && found.state == State::Live {
-            inner.with(|roster| roster.written(&own));
+            inner.with(|roster| roster.write_confirmed(&own));
         }
     }
 }
@@ -116,7 +116,7 @@
 /// Takes in what a watch on the announcements tells.
 pub(crate) fn instances(inner: &Inner, change: &Change) {
     let now = Instant::now();
-    inner.with(|roster| roster.fed(now));
+    inner.with(|roster| roster.update_received(now));
     for object in &change.changed {
         if let Some(record) = record(object) {
             let found = inner.with(|roster| roster.apply_written(now, &record, object.version));
@@ -133,7 +133,7 @@
 
 /// Passes on what a listing or change has brought, and has the listing mended.
 fn publish(inner: &Inner, found: Listing, objects: &[Object]) {
-    relay::publish(inner, found.news);
+    relay::publish(inner, found.updates);
     if !found.restore.is_empty() {
         inner.later(Job::Restore(found.restore));
     }
--- a/crates/feed/src/pulse.rs
+++ b/crates/feed/src/pulse.rs
@@ -20,16 +20,16 @@
 
 /// Beats to the observers of this instance, for ever.
 pub(crate) async fn beats(inner: Arc<Inner>) {
-    while inner.with(|roster| roster.beats().is_empty()) {
+    while inner.with(|roster| roster.heartbeat_receivers().is_empty()) {
         sleep(ALONE).await;
     }
     loop {
         let now = Instant::now();
-        let observers = inner.with(|roster| roster.beats());
+        let observers = inner.with(|roster| roster.heartbeat_receivers());
         for observer in observers {
             inner.later(Job::Probe(observer));
         }
-        let next = inner.with(|roster| roster.next_beat(now));
+        let next = inner.with(|roster| roster.next_heartbeat(now));
         sleep_until(next).await;
     }
 }
@@ -71,7 +71,7 @@
 async fn beat(inner: &Inner, to: &Instance) -> Result<Beat, Error> {
     let rules = inner.current.version();
     let era = inner.store.eras().newest();
-    let beat = inner.with(|roster| roster.beat(rules, era));
+    let beat = inner.with(|roster| roster.heartbeat(rules, era));
     match inner.ask(to, &Message::Beat(beat)).await? {
         Answer::Beat(theirs) => Ok(theirs),
         _ => Err(carry::improper(to)),
@@ -91,7 +91,7 @@
 /// comparison brings the record that says so.
 fn heed(inner: &Inner, from: &Instance, theirs: &Beat) {
     let now = Instant::now();
-    let differs = inner.with(|roster| roster.beaten(now, from, theirs));
+    let differs = inner.with(|roster| roster.heartbeat_received(now, from, theirs));
     fetch::heard(inner, from, theirs.rules);
     learn(inner, theirs);
     if differs {
--- a/crates/feed/src/relay.rs
+++ b/crates/feed/src/relay.rs
@@ -112,7 +112,7 @@
 pub(crate) fn children(inner: &Inner, seed: u64) -> Vec<Instance> {
     inner.with(|roster| {
         let me = roster.me().clone();
-        let mut children = roster.relay(seed, &me);
+        let mut children = roster.relay_children(seed, &me);
         let roots = roster.watchers(roster.zone(), roster.policy().watchers());
         if roots.contains(&me) {
             children.extend(roots.into_iter().filter(|root| *root != me));
@@ -160,7 +160,7 @@
     };
     log::debug!("feed: {kind}: {error}.");
     let orphans = inner.with(|roster| {
-        let mut orphans = roster.relay(seed, child);
+        let mut orphans = roster.relay_children(seed, child);
         orphans.retain(|orphan| orphan != roster.me());
         orphans
     });
--- a/crates/feed/src/sync.rs
+++ b/crates/feed/src/sync.rs
@@ -64,7 +64,7 @@
     inner.with(|roster| {
         let mut pages = Vec::new();
         let mut count = 0;
-        for bucket in roster.missing(theirs) {
+        for bucket in roster.differing_buckets(theirs) {
             let records = roster.bucket(bucket);
             count += records.len();
             if count > LOT && !pages.is_empty() {
--- a/crates/feed/tests/it/world.rs
+++ b/crates/feed/tests/it/world.rs
@@ -168,9 +168,9 @@
         let policy = match net.mode {
             Mode::Pinned => Policy::default(),
             Mode::Greeting => Policy::builder()
-                .beat(Duration::from_secs(1))
-                .suspect(Duration::from_secs(4))
-                .quiet(Duration::from_secs(2))
+                .heartbeat_interval(Duration::from_secs(1))
+                .suspect_after(Duration::from_secs(4))
+                .update_timeout(Duration::from_secs(2))
                 .watchers(2)
                 .build(),
         };
--- a/crates/roster/examples/size.rs
+++ b/crates/roster/examples/size.rs
@@ -5,7 +5,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 
-use roster::{Policy, Record, Roster, Shared, State, beat};
+use roster::{Policy, Record, Roster, Shared, State, heartbeat};
 use tokio::time::Instant;
 use unit::{Fingerprint, Incarnation, Version};
 
@@ -109,7 +109,7 @@
         held.merge(now, next);
         held.review(now)
     });
-    let relay = time(|| held.relay(7, &records[0].instance));
+    let relay = time(|| held.relay_children(7, &records[0].instance));
     let listing = time(|| held.apply_listing(now, &records, Version::of(life)));
     let core = time(|| held.live(&records[0].service));
     let shared = Shared::new(held);
@@ -120,7 +120,7 @@
     });
     let heard = time(|| {
         for _ in 0..1_000 {
-            shared.heard(now, &records[1].instance);
+            shared.mark_seen(now, &records[1].instance);
         }
     });
     println!(
@@ -142,7 +142,7 @@
     let theirs = roster(now, &records[..size - 1]);
     let json = serde_json::to_string(&records[0]).map_or(0, |text| text.len());
     let summary = encoded(ours.summary());
-    let missing = theirs.missing(ours.summary());
+    let missing = theirs.differing_buckets(ours.summary());
     let sent: Vec<Record> = missing
         .iter()
         .flat_map(|bucket| theirs.bucket(*bucket))
@@ -160,10 +160,10 @@
         encoded(&sent),
         encoded(&back),
     );
-    let beat = encoded(&ours.beat(Version::of(2_500), None));
+    let beat = encoded(&ours.heartbeat(Version::of(2_500), None));
     let dump = ours.dump(now);
-    let cost = beat::cost(
-        Policy::default().beat(),
+    let cost = heartbeat::cost(
+        Policy::default().heartbeat_interval(),
         dump.beats.len(),
         dump.subjects.len(),
     );
@@ -186,7 +186,7 @@
         }
     }
     let most = counts.values().max().copied().unwrap_or(0);
-    let cost = beat::cost(Policy::default().beat(), 11, most);
+    let cost = heartbeat::cost(Policy::default().heartbeat_interval(), 11, most);
     println!(
         "{size:5} instances: the busiest observes {most}: {:.0} bytes/s of heartbeats",
         cost.bytes.per_second()
@@ -212,7 +212,7 @@
                     .0
                     .is_multiple_of(2);
                 let view = if half { &full } else { &less };
-                queue.extend(view.relay(round as u64, &name));
+                queue.extend(view.relay_children(round as u64, &name));
             }
         }
         missed += records.len() - seen.len();
--- a/crates/roster/src/ask.rs
+++ b/crates/roster/src/ask.rs
@@ -25,7 +25,7 @@
 /// How far a daemon is with asking.
 #[derive(Debug)]
 pub(crate) struct Asking {
-    fed: Instant,
+    last_update: Instant,
     next: Option<Instant>,
     tries: u32,
 }
@@ -33,7 +33,7 @@
 impl Asking {
     pub(crate) fn new(now: Instant) -> Asking {
         Asking {
-            fed: now,
+            last_update: now,
             next: None,
             tries: 0,
         }
@@ -42,7 +42,7 @@
 
 impl Roster {
     /// Notes that news, or word that there is none, has come: by relay, heartbeat or answer.
-    pub fn fed(&mut self, now: Instant) {
+    pub fn update_received(&mut self, now: Instant) {
         self.asking = Asking::new(now);
     }
 
@@ -50,14 +50,14 @@
     ///
     /// Three neighbours are asked first, each after a jittered wait. Then comes the platform, at
     /// a time drawn evenly from twice a round, where a round is the zone's size times
-    /// [`gap`](crate::Builder::gap) and at least [`quiet`](crate::Builder::quiet). However many
+    /// [`fallback_interval`](crate::Builder::fallback_interval) and at least [`update_timeout`](crate::Builder::update_timeout). However many
     /// daemons have lost their watchers, a zone makes about one call each gap (5 a second); the
     /// round doubles three times while no answer comes.
     pub fn fallback(&mut self, now: Instant) -> Option<Ask> {
-        let quiet = self.policy.quiet;
+        let quiet = self.policy.update_timeout;
         let due = match self.asking.next {
             Some(next) => next,
-            None => self.asking.fed + quiet + self.jitter(quiet),
+            None => self.asking.last_update + quiet + self.jitter(quiet),
         };
         self.asking.next = Some(due);
         if now < due {
@@ -78,9 +78,9 @@
     fn turn(&mut self) -> Duration {
         let zone = self.zone().clone();
         let size = self.peers().filter(|record| record.zone == zone).count() + 1;
-        let round = self.policy.gap * u32::try_from(size).unwrap_or(u32::MAX);
+        let round = self.policy.fallback_interval * u32::try_from(size).unwrap_or(u32::MAX);
         let fruitless = self.asking.tries.saturating_sub(NEIGHBOURS + 1);
-        let backed_off = round.max(self.policy.quiet) * 2u32.pow(fruitless.min(DOUBLINGS));
+        let backed_off = round.max(self.policy.update_timeout) * 2u32.pow(fruitless.min(DOUBLINGS));
         // The mean wait must be a round, so we draw from none to two.
         self.jitter(backed_off * 2)
     }
--- a/crates/roster/src/dump.rs
+++ b/crates/roster/src/dump.rs
@@ -66,7 +66,7 @@
             cut_off: self.cut_off(now),
             replaced: self.replaced(),
             watchers: self.watchers(self.zone(), self.policy.watchers),
-            beats: self.beats(),
+            beats: self.heartbeat_receivers(),
             subjects: self.subjects.names.iter().cloned().collect(),
             instances: self.entries.values().map(line).collect(),
         }
@@ -81,7 +81,7 @@
             zone: entry.record.zone.clone(),
             service: entry.record.service.clone(),
             suspect: entry.sight.suspect,
-            heard_s: entry.sight.heard.map(age),
+            heard_s: entry.sight.last_seen.map(age),
             votes: entry.votes.keys().cloned().collect(),
         }
     }
--- a/crates/roster/src/entry.rs
+++ b/crates/roster/src/entry.rs
@@ -31,9 +31,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct Sight {
     /// When a link or heartbeat last brought something from it.
-    pub(crate) heard: Option<Instant>,
+    pub(crate) last_seen: Option<Instant>,
     /// When a link to it went silent, if nothing was heard since.
-    pub(crate) lost: Option<Instant>,
+    pub(crate) link_lost: Option<Instant>,
     /// Since when this daemon has been one of its observers, and expects heartbeats.
     pub(crate) expected: Option<Instant>,
     /// When this daemon last voted that it is silent.
@@ -46,20 +46,22 @@
     /// For how long heartbeats that this daemon should get have failed to come.
     pub(crate) fn silence(&self, now: Instant) -> Option<Duration> {
         let expected = self.expected?;
-        let last = self.heard.map_or(expected, |heard| heard.max(expected));
+        let last = self.last_seen.map_or(expected, |heard| heard.max(expected));
         Some(now.saturating_duration_since(last))
     }
 
     /// Whether something was heard within the last `span`.
-    pub(crate) fn heard_within(&self, now: Instant, span: Duration) -> bool {
-        let age = self.heard.map(|heard| now.saturating_duration_since(heard));
+    pub(crate) fn seen_within(&self, now: Instant, span: Duration) -> bool {
+        let age = self
+            .last_seen
+            .map(|heard| now.saturating_duration_since(heard));
         age.is_some_and(|age| age < span)
     }
 
     /// Whether heartbeats have failed for `span`, or a link has gone silent since.
     pub(crate) fn silent_for(&self, now: Instant, span: Duration) -> bool {
         let quiet = self.silence(now).is_some_and(|silence| silence >= span);
-        quiet || self.lost.is_some()
+        quiet || self.link_lost.is_some()
     }
 }
 
--- a/crates/roster/src/beat.rs
+++ b/crates/roster/src/heartbeat.rs
@@ -16,7 +16,7 @@
 /// Bytes on the network for one beat: 12 to 28 of payload, a frame and packet of QUIC, the headers
 /// of UDP and IP, and the packet that acknowledges it. Measured over a link by the example `link`
 /// of the crate `feed`: 240 bytes of UDP payload for a beat with its answer, 359 with headers.
-pub const BEAT_BYTES: u64 = 180;
+pub const HEARTBEAT_BYTES: u64 = 180;
 /// Bytes on the network for the answer to a beat, which is as large.
 pub const ACK_BYTES: u64 = 180;
 /// By how much of the period a beat comes earlier or later, as its denominator.
@@ -50,7 +50,7 @@
 
 /// The cost of sending `out` beats and receiving `in_` beats each period.
 pub fn cost(period: Duration, out: usize, in_: usize) -> Cost {
-    let each = (BEAT_BYTES + ACK_BYTES) as f64;
+    let each = (HEARTBEAT_BYTES + ACK_BYTES) as f64;
     let seconds = period.as_secs_f64();
     Cost {
         beats: Rate::of(out as f64 / seconds),
@@ -60,19 +60,19 @@
 
 impl Roster {
     /// To whom this daemon beats: its observers.
-    pub fn beats(&self) -> Vec<Instance> {
+    pub fn heartbeat_receivers(&self) -> Vec<Instance> {
         self.observers(&self.me)
     }
 
     /// When to beat next: a period from now, give or take a fifth so that beats don't bunch.
-    pub fn next_beat(&mut self, now: Instant) -> Instant {
-        let period = self.policy.beat;
+    pub fn next_heartbeat(&mut self, now: Instant) -> Instant {
+        let period = self.policy.heartbeat_interval;
         let early = period - period / JITTER;
         now + early + self.jitter(period / JITTER * 2)
     }
 
     /// What to say in a beat, with the rules' version in force here and the store's era.
-    pub fn beat(&self, rules: Version, era: Option<Era>) -> Beat {
+    pub fn heartbeat(&self, rules: Version, era: Option<Era>) -> Beat {
         Beat {
             incarnation: self.own.record().incarnation,
             total: self.summary.total(),
@@ -82,9 +82,9 @@
     }
 
     /// Notes a beat, and tells whether the sender's roster differs from this one.
-    pub fn beaten(&mut self, now: Instant, from: &Instance, beat: &Beat) -> bool {
-        self.heard(now, from);
-        self.fed(now);
+    pub fn heartbeat_received(&mut self, now: Instant, from: &Instance, beat: &Beat) -> bool {
+        self.mark_seen(now, from);
+        self.update_received(now);
         beat.total != self.summary.total()
     }
 }
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -38,9 +38,9 @@
 //! ```
 
 mod ask;
-pub mod beat;
 mod dump;
 mod entry;
+pub mod heartbeat;
 mod listing;
 mod observer;
 mod own;
@@ -56,8 +56,8 @@
 mod vote;
 
 pub use ask::Ask;
-pub use beat::Beat;
 pub use dump::{Dump, Line};
+pub use heartbeat::Beat;
 pub use listing::Listing;
 pub use policy::{Builder, Policy};
 pub use record::{Merge, Record, State};
--- a/crates/roster/src/listing.rs
+++ b/crates/roster/src/listing.rs
@@ -10,14 +10,14 @@
 use crate::record::{Merge, Record, State};
 use crate::roster::Roster;
 
-/// The time in which [`Builder::vanish`](crate::Builder::vanish) removals may happen.
+/// The time in which [`Builder::max_listing_removals`](crate::Builder::max_listing_removals) removals may happen.
 const WINDOW: Duration = Duration::from_secs(60);
 
 /// What a listing led to.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
     /// Records that were news here, removals included; they are to be relayed.
-    pub news: Vec<Record>,
+    pub updates: Vec<Record>,
     /// Own-zone instances that are heard though their objects are missing: a watcher writes
     /// these objects again, only where none is, and within its budget of calls.
     pub restore: Vec<Record>,
@@ -76,10 +76,10 @@
 
     /// Takes in a listing that may be old: what it shows is merged, and what it lacks says nothing.
     pub fn apply_old_listing(&mut self, now: Instant, shown: &[Record]) -> Listing {
-        let is_news = |record: &&Record| self.merge(now, (*record).clone()) != Merge::Old;
-        let news = shown.iter().filter(is_news).cloned().collect();
+        let is_new = |record: &&Record| self.merge(now, (*record).clone()) != Merge::Old;
+        let updates = shown.iter().filter(is_new).cloned().collect();
         Listing {
-            news,
+            updates,
             ..Listing::default()
         }
     }
@@ -132,7 +132,7 @@
         listing: &mut Listing,
     ) {
         if self.merge(now, record.clone()) != Merge::Old {
-            listing.news.push(record.clone());
+            listing.updates.push(record.clone());
         }
         let Some(entry) = self.entries.get_mut(&record.instance) else {
             return;
@@ -213,7 +213,7 @@
         if *name == self.me {
             return Standing::Own;
         }
-        if entry.sight.heard_within(now, self.policy.suspect) {
+        if entry.sight.seen_within(now, self.policy.suspect_after) {
             return Standing::Heard;
         }
         match entry.record.state {
@@ -235,7 +235,7 @@
             return;
         };
         if self.place(now, gone.clone()) != Merge::Old {
-            listing.news.push(gone);
+            listing.updates.push(gone);
         }
     }
 
@@ -243,7 +243,7 @@
     fn spend(&mut self, now: Instant, count: usize) -> bool {
         if now.saturating_duration_since(self.allowance.window) >= WINDOW {
             self.allowance.window = now;
-            self.allowance.left = self.policy.vanish;
+            self.allowance.left = self.policy.max_listing_removals;
         }
         if count > self.allowance.left {
             return false;
--- a/crates/roster/src/observer.rs
+++ b/crates/roster/src/observer.rs
@@ -98,7 +98,7 @@
 
     fn wanted(&self, about: &Entry, zone: &Zone) -> usize {
         if about.record.zone == *zone {
-            self.policy.home
+            self.policy.zone_observers
         } else {
             1
         }
--- a/crates/roster/src/own.rs
+++ b/crates/roster/src/own.rs
@@ -52,7 +52,7 @@
 impl Roster {
     /// The own record if the other daemons have to be told of it: after the start, a refutation
     /// or a change of state. It is given once for each change.
-    pub fn own(&mut self) -> Option<Record> {
+    pub fn take_announcement(&mut self) -> Option<Record> {
         let tell = std::mem::take(&mut self.own.tell);
         tell.then(|| self.own.record.clone())
     }
@@ -62,15 +62,15 @@
         &self.own.record
     }
 
-    /// The own record if it is time to write it to the platform; given until [`Roster::written`].
-    pub fn write(&self, now: Instant) -> Option<Record> {
+    /// The own record if it is time to write it to the platform; given until [`Roster::write_confirmed`].
+    pub fn due_write(&self, now: Instant) -> Option<Record> {
         let due = self.own.write.is_some_and(|at| at <= now);
         let due = due && self.may_write();
         due.then(|| self.own.record.clone())
     }
 
     /// Notes that the platform has confirmed `record`; an older one settles nothing.
-    pub fn written(&mut self, record: &Record) {
+    pub fn write_confirmed(&mut self, record: &Record) {
         if *record == self.own.record {
             self.own.write = None;
         }
--- a/crates/roster/src/policy.rs
+++ b/crates/roster/src/policy.rs
@@ -5,19 +5,19 @@
 /// The settings of a [`Roster`](crate::Roster), the same on all daemons; see [`Policy::builder`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Policy {
-    pub(crate) beat: Duration,
-    pub(crate) suspect: Duration,
-    pub(crate) remove: Duration,
-    pub(crate) zone: Duration,
-    pub(crate) vote: Duration,
-    pub(crate) tombstone: Duration,
+    pub(crate) heartbeat_interval: Duration,
+    pub(crate) suspect_after: Duration,
+    pub(crate) remove_after: Duration,
+    pub(crate) remove_zone_after: Duration,
+    pub(crate) vote_ttl: Duration,
+    pub(crate) tombstone_ttl: Duration,
     pub(crate) grace: Duration,
-    pub(crate) quiet: Duration,
-    pub(crate) gap: Duration,
-    pub(crate) home: usize,
+    pub(crate) update_timeout: Duration,
+    pub(crate) fallback_interval: Duration,
+    pub(crate) zone_observers: usize,
     pub(crate) watchers: usize,
-    pub(crate) degree: usize,
-    pub(crate) vanish: usize,
+    pub(crate) fanout: usize,
+    pub(crate) max_listing_removals: usize,
 }
 
 /// Builds a [`Policy`]; what is not set keeps its default.
@@ -29,19 +29,19 @@
 impl Default for Policy {
     fn default() -> Policy {
         Policy {
-            beat: Duration::from_secs(5),
-            suspect: Duration::from_secs(16),
-            remove: Duration::from_secs(60),
-            zone: Duration::from_secs(3_600),
-            vote: Duration::from_secs(60),
-            tombstone: Duration::from_secs(6 * 3_600),
+            heartbeat_interval: Duration::from_secs(5),
+            suspect_after: Duration::from_secs(16),
+            remove_after: Duration::from_secs(60),
+            remove_zone_after: Duration::from_secs(3_600),
+            vote_ttl: Duration::from_secs(60),
+            tombstone_ttl: Duration::from_secs(6 * 3_600),
             grace: Duration::from_secs(60),
-            quiet: Duration::from_secs(5),
-            gap: Duration::from_millis(200),
-            home: 4,
+            update_timeout: Duration::from_secs(5),
+            fallback_interval: Duration::from_millis(200),
+            zone_observers: 4,
             watchers: 3,
-            degree: 8,
-            vanish: 16,
+            fanout: 8,
+            max_listing_removals: 16,
         }
     }
 }
@@ -53,18 +53,18 @@
     /// use std::time::Duration;
     ///
     /// let policy = roster::Policy::builder()
-    ///     .suspect(Duration::from_secs(8))
-    ///     .beat(Duration::from_secs(2))
+    ///     .suspect_after(Duration::from_secs(8))
+    ///     .heartbeat_interval(Duration::from_secs(2))
     ///     .build();
-    /// assert_eq!(policy.beat(), Duration::from_secs(2));
+    /// assert_eq!(policy.heartbeat_interval(), Duration::from_secs(2));
     /// ```
     pub fn builder() -> Builder {
         Builder::default()
     }
 
     /// The time between two heartbeats to one observer, before jitter.
-    pub fn beat(&self) -> Duration {
-        self.beat
+    pub fn heartbeat_interval(&self) -> Duration {
+        self.heartbeat_interval
     }
 
     /// How many instances of each zone watch the platform.
@@ -94,31 +94,31 @@
 
 set! {
     /// Time between two heartbeats to one observer (5 s).
-    beat: Duration,
+    heartbeat_interval: Duration,
     /// Silence after which an instance is suspect (16 s: three heartbeats and their jitter).
-    suspect: Duration,
+    suspect_after: Duration,
     /// Silence after which an observer votes to remove it (60 s).
-    remove: Duration,
+    remove_after: Duration,
     /// Silence after which an observer votes when nothing of the zone is heard (1 h: regions
     /// part for minutes, and come back without a removal).
-    zone: Duration,
+    remove_zone_after: Duration,
     /// How long a vote counts (60 s); it is repeated while the silence lasts.
-    vote: Duration,
+    vote_ttl: Duration,
     /// How long a record of a gone instance is kept (6 h).
-    tombstone: Duration,
+    tombstone_ttl: Duration,
     /// How old a record must be before a listing that has never shown it counts against it (60 s).
     grace: Duration,
     /// How long a daemon waits for news before it asks a neighbour (5 s).
-    quiet: Duration,
+    update_timeout: Duration,
     /// The least average time between two calls that a zone's daemons make to the platform as
     /// their last resort (200 ms).
-    gap: Duration,
+    fallback_interval: Duration,
     /// Observers of an instance inside its zone (4); one of each other zone comes on top.
-    home: usize,
+    zone_observers: usize,
     /// Instances of each zone that watch the platform (3).
     watchers: usize,
     /// Most messages that one instance sends in a fan-out tree (8).
-    degree: usize,
+    fanout: usize,
     /// Most instances that the platform's word alone removes within a minute (16).
-    vanish: usize,
+    max_listing_removals: usize,
 }
--- a/crates/roster/src/review.rs
+++ b/crates/roster/src/review.rs
@@ -44,12 +44,12 @@
 
 impl Roster {
     /// Notes that something came from `instance` by a link or a heartbeat.
-    pub fn heard(&mut self, now: Instant, instance: &Instance) {
+    pub fn mark_seen(&mut self, now: Instant, instance: &Instance) {
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        entry.sight.heard = entry.sight.heard.max(Some(now));
-        entry.sight.lost = entry.sight.lost.filter(|lost| *lost > now);
+        entry.sight.last_seen = entry.sight.last_seen.max(Some(now));
+        entry.sight.link_lost = entry.sight.link_lost.filter(|lost| *lost > now);
         if entry.sight.suspect {
             self.refresh(now, instance);
         }
@@ -58,11 +58,11 @@
     /// Notes that a link to `instance` has gone silent or could not be opened.
     ///
     /// It is suspect here at once, until it is heard.
-    pub fn lost(&mut self, now: Instant, instance: &Instance) {
+    pub fn link_lost(&mut self, now: Instant, instance: &Instance) {
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        entry.sight.lost = Some(now);
+        entry.sight.link_lost = Some(now);
         self.refresh(now, instance);
     }
 
@@ -87,7 +87,7 @@
     pub fn cut_off(&self, now: Instant) -> bool {
         let subjects = self.subjects.names.iter();
         let sights = subjects.filter_map(|name| self.entries.get(name));
-        let silent = |silence: Duration| silence >= self.policy.suspect;
+        let silent = |silence: Duration| silence >= self.policy.suspect_after;
         let known: Vec<bool> = sights
             .filter_map(|entry| entry.sight.silence(now).map(silent))
             .collect();
@@ -141,7 +141,7 @@
     /// Drops tombstones and votes that have had their time.
     fn age(&mut self, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
-        let (tombstone, vote) = (self.policy.tombstone, self.policy.vote);
+        let (tombstone, vote) = (self.policy.tombstone_ttl, self.policy.vote_ttl);
         let me = &self.me;
         self.entries
             .retain(|name, entry| name == me || !entry.is_gone() || age(entry.since) < tombstone);
@@ -161,10 +161,10 @@
 
     fn reach(&self, now: Instant) -> BTreeMap<Zone, Reach> {
         let mut zones: BTreeMap<Zone, Reach> = BTreeMap::new();
-        let span = self.policy.suspect;
+        let span = self.policy.suspect_after;
         for entry in self.entries.values().filter(|entry| !entry.is_gone()) {
             let reach = zones.entry(entry.record.zone.clone()).or_default();
-            let heard = entry.sight.heard_within(now, span) || entry.record.instance == self.me;
+            let heard = entry.sight.seen_within(now, span) || entry.record.instance == self.me;
             reach.heard += usize::from(heard);
             reach.silent += usize::from(!heard && entry.sight.silent_for(now, span));
         }
@@ -198,12 +198,12 @@
         if entry.is_gone() || entry.record.instance == self.me {
             return false;
         }
-        if entry.sight.lost.is_some() {
+        if entry.sight.link_lost.is_some() {
             return true;
         }
         // What we hear ourselves outweighs what others say.
-        let heard = entry.sight.heard_within(now, self.policy.suspect);
-        let silent = entry.sight.silent_for(now, self.policy.suspect);
+        let heard = entry.sight.seen_within(now, self.policy.suspect_after);
+        let silent = entry.sight.silent_for(now, self.policy.suspect_after);
         !heard && (silent || !entry.votes.is_empty())
     }
 
@@ -211,7 +211,7 @@
         if let Some(entry) = self.entries.get_mut(instance) {
             entry.sight.suspect = !entry.sight.suspect;
             let service = entry.record.service.clone();
-            self.touch(service);
+            self.note_change(service);
         }
     }
 
@@ -225,7 +225,7 @@
             let Some(vote) = self.own_vote(now, &name, reach) else {
                 continue;
             };
-            if let Finding::Removed(record) = self.observe(now, &vote) {
+            if let Finding::Removed(record) = self.count_vote(now, &vote) {
                 review.removed.push(record);
             }
             review.votes.push(vote);
@@ -240,7 +240,7 @@
         about: &Instance,
         reach: &BTreeMap<Zone, Reach>,
     ) -> Option<Vote> {
-        let repeat = self.policy.vote / 3;
+        let repeat = self.policy.vote_ttl / 3;
         let patience = self.patience(about, reach);
         let entry = self.entries.get_mut(about)?;
         let voted = entry.sight.voted;
@@ -273,8 +273,8 @@
             .and_then(|zone| reach.get(zone))
             .map(|reach| reach.heard);
         match heard {
-            Some(0) | None => self.policy.zone,
-            Some(_) => self.policy.remove,
+            Some(0) | None => self.policy.remove_zone_after,
+            Some(_) => self.policy.remove_after,
         }
     }
 }
--- a/crates/roster/src/roster.rs
+++ b/crates/roster/src/roster.rs
@@ -37,7 +37,7 @@
     /// Counts changes to who exists where, on which the ranks depend.
     members: u64,
     /// Services whose targets have changed since these were last taken.
-    touched: BTreeSet<Service>,
+    changed_services: BTreeSet<Service>,
 }
 
 impl Roster {
@@ -53,13 +53,13 @@
             own: Own::new(now, own.clone()),
             subjects: Subjects::default(),
             asking: Asking::new(now),
-            allowance: Allowance::new(now, policy.vanish),
+            allowance: Allowance::new(now, policy.max_listing_removals),
             reviewed: now,
             blind: Blind::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             version: 0,
             members: 1,
-            touched: BTreeSet::new(),
+            changed_services: BTreeSet::new(),
             policy,
         };
         roster.place(now, own);
@@ -69,7 +69,7 @@
     /// Takes a record in, from whatever source, if it is newer than what is held.
     ///
     /// A record about this daemon's own instance that it did not make is answered by a higher
-    /// incarnation; see [`Roster::own`].
+    /// incarnation; see [`Roster::take_announcement`].
     pub fn merge(&mut self, now: Instant, record: Record) -> Merge {
         if record.instance == self.me {
             return self.merge_own(now, record);
@@ -101,7 +101,7 @@
     /// A link of a gone instance must be accepted for heartbeats and records: a live instance
     /// that was removed by mistake learns of it, and refutes it, only if somebody talks to it.
     /// Work is taken from and sent to [`peers`](Roster::peers) only.
-    pub fn known(&self, fingerprint: &Fingerprint) -> Option<&Record> {
+    pub fn by_fingerprint(&self, fingerprint: &Fingerprint) -> Option<&Record> {
         self.records()
             .find(|record| record.fingerprint == *fingerprint)
     }
@@ -137,8 +137,8 @@
     }
 
     /// The services whose targets have changed since the last call.
-    pub fn touched(&mut self) -> BTreeSet<Service> {
-        std::mem::take(&mut self.touched)
+    pub fn take_changed_services(&mut self) -> BTreeSet<Service> {
+        std::mem::take(&mut self.changed_services)
     }
 
     /// Puts a record in place if it is newer, and keeps digests and counters true.
@@ -157,8 +157,8 @@
         entry.replace(now, record);
         self.summary.add(&entry.record, entry.digest);
         self.members += u64::from(moved || dies);
-        self.touch(before);
-        self.touch(after);
+        self.note_change(before);
+        self.note_change(after);
         Merge::Changed
     }
 
@@ -168,13 +168,13 @@
         let service = entry.record.service.clone();
         self.members += 1;
         self.entries.insert(entry.record.instance.clone(), entry);
-        self.touch(service);
+        self.note_change(service);
         Merge::New
     }
 
     /// Notes that a reader of `service` could see a change.
-    pub(crate) fn touch(&mut self, service: Service) {
+    pub(crate) fn note_change(&mut self, service: Service) {
         self.version += 1;
-        self.touched.insert(service);
+        self.changed_services.insert(service);
     }
 }
--- a/crates/roster/src/shared.rs
+++ b/crates/roster/src/shared.rs
@@ -69,7 +69,7 @@
     /// Notes that something came from `instance`.
     ///
     /// A suspect is cleared by the next [`Shared::with`], at the latest by the next review.
-    pub fn heard(&self, now: Instant, instance: &Instance) {
+    pub fn mark_seen(&self, now: Instant, instance: &Instance) {
         let mut hearings = self.hearings[shard(instance.as_str())].lock();
         match hearings.get_mut(instance) {
             Some(at) => *at = now.max(*at),
@@ -88,13 +88,13 @@
         for hearings in &self.hearings {
             let taken = std::mem::take(&mut *hearings.lock());
             for (instance, at) in taken {
-                roster.heard(at, &instance);
+                roster.mark_seen(at, &instance);
             }
         }
     }
 
     fn publish(&self, roster: &mut Roster) {
-        for service in roster.touched() {
+        for service in roster.take_changed_services() {
             let targets: Arc<[Target]> = roster.live(&service).into();
             let mut views = self.views[shard(service.as_str())].write();
             views.insert(service, targets);
--- a/crates/roster/src/summary.rs
+++ b/crates/roster/src/summary.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Exchange {
     /// Records that were news here.
-    pub news: Vec<Record>,
+    pub updates: Vec<Record>,
     /// Records that the neighbour lacks, or holds in an older form; to be sent to it.
     pub reply: Vec<Record>,
 }
@@ -124,7 +124,7 @@
     }
 
     /// The buckets in which a neighbour's summary differs from what is held here.
-    pub fn missing(&self, theirs: &Summary) -> Vec<Bucket> {
+    pub fn differing_buckets(&self, theirs: &Summary) -> Vec<Bucket> {
         self.summary.differing(theirs)
     }
 
@@ -155,7 +155,7 @@
 
     fn exchange_one(&mut self, now: Instant, record: Record, result: &mut Exchange) {
         if self.merge(now, record.clone()) != Merge::Old {
-            result.news.push(record);
+            result.updates.push(record);
             return;
         }
         let held = self.get(&record.instance);
--- a/crates/roster/src/tree.rs
+++ b/crates/roster/src/tree.rs
@@ -13,7 +13,7 @@
     /// the `degree` places from `watchers + p * degree`. All daemons with equal rosters compute
     /// the same tree and send each message once. Rosters that differ leave some unreached or
     /// reached twice: a heartbeat tells those within seconds (see [`Beat`](crate::Beat)).
-    pub fn relay(&self, seed: u64, me: &Instance) -> Vec<Instance> {
+    pub fn relay_children(&self, seed: u64, me: &Instance) -> Vec<Instance> {
         let Some(zone) = self.get(me).map(|record| &record.zone) else {
             return Vec::new();
         };
@@ -32,8 +32,8 @@
         let Some(place) = order.iter().position(|name| name == me) else {
             return Vec::new();
         };
-        let first = count.max(1) + place * self.policy.degree;
+        let first = count.max(1) + place * self.policy.fanout;
         let children = order.into_iter().skip(first);
-        children.take(self.policy.degree).collect()
+        children.take(self.policy.fanout).collect()
     }
 }
--- a/crates/roster/src/vote.rs
+++ b/crates/roster/src/vote.rs
@@ -55,7 +55,7 @@
     /// An instance is removed by a [quorum](Roster::quorum) of distinct observers of its present
     /// incarnation. One vote makes it suspect here, unless it is heard here: avoided by the
     /// choice of target, and no more.
-    pub fn observe(&mut self, now: Instant, vote: &Vote) -> Finding {
+    pub fn count_vote(&mut self, now: Instant, vote: &Vote) -> Finding {
         if !self.counts(vote) {
             return Finding::Ignored;
         }
@@ -113,7 +113,7 @@
     /// zone may be cut off: then a majority of all other zones must agree, so that the smaller
     /// side of a parted network never removes the larger.
     fn suffices(&self, now: Instant, entry: &Entry) -> bool {
-        let fresh = |at: &Instant| now.saturating_duration_since(*at) < self.policy.vote;
+        let fresh = |at: &Instant| now.saturating_duration_since(*at) < self.policy.vote_ttl;
         let votes = entry.votes.iter().filter(|(_, at)| fresh(at));
         let zones: Vec<&Zone> = votes.filter_map(|(name, _)| self.zone_of(name)).collect();
         if zones.contains(&&entry.record.zone) {
--- a/crates/roster/tests/it/fan.rs
+++ b/crates/roster/tests/it/fan.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use roster::{Policy, Record, Roster, State, beat};
+use roster::{Policy, Record, Roster, State, heartbeat};
 use tokio::time::Instant;
 use unit::Instance;
 
@@ -27,7 +27,7 @@
             if missing.contains(&name) || !seen.insert(name.clone()) {
                 continue;
             }
-            let children = roster.relay(*seed, &name);
+            let children = roster.relay_children(*seed, &name);
             assert!(children.len() <= DEGREE);
             queue.extend(children);
         }
@@ -42,7 +42,7 @@
     let (all, roster) = zone();
     let mut got: BTreeMap<Instance, usize> = BTreeMap::new();
     for record in &all {
-        for child in roster.relay(7, &record.instance) {
+        for child in roster.relay_children(7, &record.instance) {
             *got.entry(child).or_default() += 1;
         }
     }
@@ -122,7 +122,7 @@
     }
     let subjects = roster.dump(Instant::now()).subjects.len();
     println!("the first daemon observes {subjects}");
-    let cost = beat::cost(Policy::default().beat(), 11, subjects.max(30));
+    let cost = heartbeat::cost(Policy::default().heartbeat_interval(), 11, subjects.max(30));
     println!(
         "{:.0} bytes a second with {} observed",
         cost.bytes.per_second(),
@@ -130,5 +130,8 @@
     );
     assert!(cost.bytes.per_second() < 3_000.0);
     assert!(heard.values().all(|count| *count < 15), "{heard:?}");
-    assert_eq!(Policy::default().beat(), Duration::from_secs(5));
+    assert_eq!(
+        Policy::default().heartbeat_interval(),
+        Duration::from_secs(5)
+    );
 }
--- a/crates/roster/tests/it/join.rs
+++ b/crates/roster/tests/it/join.rs
@@ -101,7 +101,7 @@
     early.review(now);
     late.review(now);
     assert_eq!(early.get(&other.instance), None);
-    for bucket in early.missing(late.summary()) {
+    for bucket in early.differing_buckets(late.summary()) {
         let back = late.exchange(now, bucket, early.bucket(bucket));
         early.exchange(now, bucket, back.reply);
     }
@@ -119,7 +119,7 @@
     let all = records(&["sorel", "trois-rivieres", "levis", "rimouski"], 450);
     let mut ours = roster(now, &all[0], &all);
     let mut theirs = roster(now, &all[1], &all[..1799]);
-    let missing = theirs.missing(ours.summary());
+    let missing = theirs.differing_buckets(ours.summary());
     assert_eq!(missing.len(), 1);
     let sent = theirs.bucket(missing[0]);
     assert!(sent.len() < 3 * 1_800 / BUCKETS, "{}", sent.len());
--- a/crates/roster/tests/it/listing.rs
+++ b/crates/roster/tests/it/listing.rs
@@ -14,7 +14,7 @@
     let mut roster = roster(now, &all[0], &all);
     roster.apply_listing(now, &all, Version::of(100));
     for record in &all[1..100] {
-        roster.heard(now, &record.instance);
+        roster.mark_seen(now, &record.instance);
     }
     (roster, all)
 }
@@ -28,10 +28,10 @@
         let now = Instant::now() + SECOND;
         let (mut roster, all) = listed(now);
         let listing = roster.apply_listing(now, &all[..left], Version::of(101));
-        assert_eq!(listing.news, []);
+        assert_eq!(listing.updates, []);
         assert_eq!(listing.restore.len(), 100 - left.max(1));
         assert_eq!(roster.live(&all[0].service).len(), 200);
-        let own = roster.write(now + SECOND * 30);
+        let own = roster.due_write(now + SECOND * 30);
         assert_eq!(own.is_some(), left == 0);
     }
 }
@@ -45,10 +45,10 @@
     let (mut roster, all) = listed(now);
     let older = [&all[5..150], &all[155..]].concat();
     let back = roster.apply_listing(now, &older, Version::of(40));
-    assert_eq!((back.news.len(), back.restore.len()), (0, 4));
-    assert!(roster.write(now + SECOND * 30).is_some());
+    assert_eq!((back.updates.len(), back.restore.len()), (0, 4));
+    assert!(roster.due_write(now + SECOND * 30).is_some());
     let passed = roster.apply_listing(now + SECOND * 30, &older, Version::of(101));
-    assert_eq!(passed.news, []);
+    assert_eq!(passed.updates, []);
     assert_eq!(roster.live(&all[0].service).len(), 200);
 }
 
@@ -59,10 +59,10 @@
     let now = Instant::now();
     let (mut roster, all) = listed(now);
     let deleted = roster.apply_deleted(now, &all[150].instance, Version::of(101));
-    assert_eq!(deleted.news.len(), 1);
+    assert_eq!(deleted.updates.len(), 1);
     let kept = roster.apply_deleted(now, &all[50].instance, Version::of(102));
     assert_eq!(
-        (kept.news.len(), kept.held.len(), kept.restore.len()),
+        (kept.updates.len(), kept.held.len(), kept.restore.len()),
         (0, 1, 1)
     );
     let mut removed = 1;
@@ -70,7 +70,7 @@
         let revision = Version::of(103 + number as u64);
         removed += roster
             .apply_deleted(now, &record.instance, revision)
-            .news
+            .updates
             .len();
     }
     assert_eq!(removed, 16);
@@ -90,7 +90,7 @@
     assert_eq!(
         roster
             .apply_deleted(now, &next.instance, Version::of(101))
-            .news,
+            .updates,
         []
     );
     assert_eq!(roster.get(&next.instance), Some(&next));
@@ -100,11 +100,15 @@
         .cloned()
         .collect();
     assert_eq!(
-        roster.apply_listing(now, &lacking, Version::of(102)).news,
+        roster
+            .apply_listing(now, &lacking, Version::of(102))
+            .updates,
         []
     );
     roster.apply_written(now, &next, Version::of(103));
-    let removed = roster.apply_listing(now, &lacking, Version::of(104)).news;
+    let removed = roster
+        .apply_listing(now, &lacking, Version::of(104))
+        .updates;
     assert_eq!(
         removed,
         [Record {
@@ -131,8 +135,8 @@
     }
     let listing = roster.apply_listing(now, &all, Version::of(101));
     assert_eq!(listing.stale, [all[50].clone()]);
-    assert_eq!(listing.news, []);
+    assert_eq!(listing.updates, []);
     let newcomer = record("sorel", 100);
     let listing = roster.apply_written(now, &newcomer, Version::of(102));
-    assert_eq!(listing.news, [newcomer]);
+    assert_eq!(listing.updates, [newcomer]);
 }
--- a/crates/roster/tests/it/parted.rs
+++ b/crates/roster/tests/it/parted.rs
@@ -105,7 +105,7 @@
     assert!((400..=1_500).contains(&total), "{total}");
     assert!(most <= 16, "{most}");
     let heard = &mut rosters[0];
-    heard.fed(now + SECOND * 300);
+    heard.update_received(now + SECOND * 300);
     assert_eq!(heard.fallback(now + Duration::from_secs(304)), None);
 }
 
--- a/crates/roster/tests/it/removal.rs
+++ b/crates/roster/tests/it/removal.rs
@@ -32,7 +32,7 @@
         for _ in 0..600 {
             now += SECOND;
             roster.review(now);
-            assert_eq!(roster.observe(now, &vote), Finding::Counted);
+            assert_eq!(roster.count_vote(now, &vote), Finding::Counted);
         }
         assert_eq!(roster.get(&about.instance), Some(about));
         let live = roster.live(&about.service);
@@ -54,7 +54,7 @@
     let far = |name: &&Instance| !name.as_str().starts_with("sorel");
     let is_stranger = |record: &&Record| {
         let mut fresh = self::roster(now, &all[0], &all);
-        fresh.observe(now, &silent(&record.instance, about)) == Finding::Ignored
+        fresh.count_vote(now, &silent(&record.instance, about)) == Finding::Ignored
     };
     let stranger = all[10..].iter().find(is_stranger);
     assert!(stranger.is_some());
@@ -62,30 +62,30 @@
         incarnation: Incarnation(0),
         ..silent(&observers[3], about)
     };
-    assert_eq!(roster.observe(now, &old), Finding::Ignored);
+    assert_eq!(roster.count_vote(now, &old), Finding::Ignored);
     let mut roster = self::roster(now, &all[0], &all);
     let home: Vec<&Instance> = observers.iter().filter(|name| !far(name)).collect();
-    roster.observe(now, &silent(home[0], about));
-    roster.observe(now, &silent(home[1], about));
+    roster.count_vote(now, &silent(home[0], about));
+    roster.count_vote(now, &silent(home[1], about));
     let withdrawn = Vote {
         verdict: Verdict::Heard,
         ..silent(home[1], about)
     };
-    assert_eq!(roster.observe(now, &withdrawn), Finding::Counted);
+    assert_eq!(roster.count_vote(now, &withdrawn), Finding::Counted);
     assert_eq!(
-        roster.observe(now, &silent(home[2], about)),
+        roster.count_vote(now, &silent(home[2], about)),
         Finding::Counted
     );
     let later = now + SECOND * 61;
     assert_eq!(
-        roster.observe(later, &silent(home[1], about)),
+        roster.count_vote(later, &silent(home[1], about)),
         Finding::Counted
     );
     assert_eq!(
-        roster.observe(later, &silent(home[2], about)),
+        roster.count_vote(later, &silent(home[2], about)),
         Finding::Counted
     );
-    let last = roster.observe(later, &silent(home[0], about));
+    let last = roster.count_vote(later, &silent(home[0], about));
     assert!(matches!(last, Finding::Removed(gone) if gone.state == State::Gone));
 }
 
@@ -99,7 +99,7 @@
     let mut roster = roster(now, &all[0], &all);
     let abroad = all[10..].iter().map(|record| &record.instance);
     let mut counted =
-        abroad.filter(|name| roster.observe(now, &silent(name, about)) == Finding::Counted);
+        abroad.filter(|name| roster.count_vote(now, &silent(name, about)) == Finding::Counted);
     // The first votes come from one zone; they are counted, and it takes another zone's.
     let zones: Vec<String> = counted
         .by_ref()
@@ -185,19 +185,19 @@
         ..all[0].clone()
     };
     assert_eq!(roster.merge(now, gone.clone()), Merge::Old);
-    let refuted = roster.own().unwrap();
+    let refuted = roster.take_announcement().unwrap();
     assert_eq!(
         (refuted.incarnation, refuted.state),
         (Incarnation(2), State::Live)
     );
     assert!(refuted.supersedes(&gone));
-    assert_eq!(roster.own(), None);
-    assert_eq!(roster.write(now), None);
-    assert_eq!(roster.write(now + SECOND * 30), Some(refuted.clone()));
-    roster.written(&all[0]);
-    assert!(roster.write(now + SECOND * 30).is_some());
-    roster.written(&refuted);
-    assert_eq!(roster.write(now + SECOND * 30), None);
+    assert_eq!(roster.take_announcement(), None);
+    assert_eq!(roster.due_write(now), None);
+    assert_eq!(roster.due_write(now + SECOND * 30), Some(refuted.clone()));
+    roster.write_confirmed(&all[0]);
+    assert!(roster.due_write(now + SECOND * 30).is_some());
+    roster.write_confirmed(&refuted);
+    assert_eq!(roster.due_write(now + SECOND * 30), None);
 }
 
 /// A process is paused, its instance replaced under the same name, and then it wakes up. If it
@@ -216,7 +216,7 @@
     assert!(!newcomer.replaced());
     assert_eq!(newcomer.own_record().incarnation, Incarnation(10));
     let mut paused = Roster::new(now, own.clone(), Policy::default(), 1);
-    assert!(paused.write(now).is_some());
+    assert!(paused.due_write(now).is_some());
     assert_eq!(
         paused.merge(now + SECOND * 120, next.clone()),
         Merge::Changed
@@ -224,7 +224,10 @@
     assert!(paused.replaced());
     paused.leave(now + SECOND * 121);
     assert_eq!(
-        (paused.own(), paused.write(now + SECOND * 200)),
+        (
+            paused.take_announcement(),
+            paused.due_write(now + SECOND * 200)
+        ),
         (None, None)
     );
     assert_eq!(paused.get(&next.instance), Some(&next));
@@ -254,14 +257,14 @@
         live.iter().filter(|target| target.suspect).count()
     };
     let before = shared.version();
-    shared.with(|roster| roster.lost(now, &all[1].instance));
+    shared.with(|roster| roster.link_lost(now, &all[1].instance));
     assert_eq!(suspects(&shared), 1);
     assert!(shared.version() > before);
-    shared.heard(now + SECOND, &all[1].instance);
+    shared.mark_seen(now + SECOND, &all[1].instance);
     shared.with(|roster| roster.review(now + SECOND));
     assert_eq!(suspects(&shared), 0);
     shared.with(|roster| roster.leave(now));
     assert_eq!(shared.live(&all[0].service).len(), 7);
-    let leaving = shared.with(Roster::own).unwrap();
+    let leaving = shared.with(Roster::take_announcement).unwrap();
     assert_eq!(leaving.state, State::Leaving);
 }
--- a/crates/roster/tests/it/world.rs
+++ b/crates/roster/tests/it/world.rs
@@ -42,8 +42,8 @@
     for record in records {
         roster.merge(now, record.clone());
     }
-    roster.own();
-    roster.written(own);
+    roster.take_announcement();
+    roster.write_confirmed(own);
     roster.review(now);
     roster
 }
@@ -96,16 +96,20 @@
         let me = self.rosters.get_mut(name).expect("a roster");
         let review = me.review(now);
         let mut told = review.removed;
-        told.extend(me.own());
-        let write = me.write(now);
+        told.extend(me.take_announcement());
+        let write = me.due_write(now);
         if let Some(record) = &write {
-            me.written(record);
+            me.write_confirmed(record);
         }
         let asks = matches!(me.fallback(now), Some(Ask::Platform));
         let due = self.beats.get(name).is_none_or(|at| *at <= now);
-        let beats = if due { me.beats() } else { Vec::new() };
+        let beats = if due {
+            me.heartbeat_receivers()
+        } else {
+            Vec::new()
+        };
         if due {
-            self.beats.insert(name.clone(), me.next_beat(now));
+            self.beats.insert(name.clone(), me.next_heartbeat(now));
         }
         self.writes += usize::from(write.is_some());
         self.reads += usize::from(asks);
@@ -114,7 +118,7 @@
             self.cast(&vote, open);
         }
         for to in beats.iter().filter(|to| open(name, to)) {
-            self.beat(name, to);
+            self.heartbeat(name, to);
         }
     }
 
@@ -137,19 +141,19 @@
         let observers = self.rosters[&vote.observer].observers(&vote.about);
         for name in observers.iter().filter(|name| open(&vote.observer, name)) {
             if let Some(other) = self.rosters.get_mut(name) {
-                other.observe(self.now, vote);
+                other.count_vote(self.now, vote);
             }
         }
     }
 
     /// One heartbeat, and an exchange of the buckets that differ.
-    fn beat(&mut self, from: &Instance, to: &Instance) {
+    fn heartbeat(&mut self, from: &Instance, to: &Instance) {
         let Some(mut receiver) = self.rosters.remove(to) else {
             return;
         };
         let sender = self.rosters.get_mut(from).expect("a roster");
-        if receiver.beaten(self.now, from, &sender.beat(Version::NONE, None)) {
-            for bucket in receiver.missing(sender.summary()) {
+        if receiver.heartbeat_received(self.now, from, &sender.heartbeat(Version::NONE, None)) {
+            for bucket in receiver.differing_buckets(sender.summary()) {
                 let back = receiver.exchange(self.now, bucket, sender.bucket(bucket));
                 sender.exchange(self.now, bucket, back.reply);
             }
