--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -1,11 +1,12 @@
-//! Which instances exist, which are live, which leave, and who watches for whom.
+//! The membership of the mesh: which instances exist, which are live or leaving, and who observes
+//! whom.
 //!
-//! This crate decides and does no I/O: messages, the clock's reading and a seed go in, decisions
-//! come out. A [`Record`] says of one instance where it is and in which [`State`]; records merge
-//! by a join, so daemons may hear them in any order and any number of times. A [`Roster`] holds
-//! one record an instance, and adds what this daemon alone knows: whom it has heard lately, and
-//! who has voted that an instance is silent. [`Shared`] puts a roster behind locks and gives call
-//! paths a snapshot to read.
+//! This crate makes decisions and does no I/O: it takes messages, the time and a seed, and returns
+//! what to do. A [`Record`] announces where one instance is and in which [`State`]. Records merge
+//! by a join, so daemons may receive them in any order and any number of times. A [`Roster`] holds
+//! one record for each instance, and what this daemon alone knows: from whom it has received
+//! something lately, and who has voted that an instance is silent. [`Shared`] puts a roster behind
+//! locks and gives the threads that handle calls a snapshot to read.
 //!
 //! ```
 //! use roster::{Merge, Policy, Record, Roster, State};
@@ -30,7 +31,7 @@
 //! assert_eq!(roster.merge(now, other.clone()), Merge::New);
 //! assert_eq!(roster.live(&other.service).len(), 2);
 //!
-//! // The other one leaves: it is a target no more, at once and without the platform.
+//! // The other instance leaves: it stops being a target at once, without the platform.
 //! let leaving = Record { state: State::Leaving, ..other.clone() };
 //! assert_eq!(roster.merge(now, leaving), Merge::Changed);
 //! assert_eq!(roster.live(&other.service).len(), 1);
--- a/crates/roster/src/policy.rs
+++ b/crates/roster/src/policy.rs
@@ -1,4 +1,4 @@
-//! How long, how many and how often: the settings of a roster.
+//! The time limits, counts and rates of a roster.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     pub(crate) max_listing_removals: usize,
 }
 
-/// Builds a [`Policy`]; what is not set keeps its default.
+/// Builds a [`Policy`]; a setting that is not given keeps its default.
 #[derive(Debug, Clone, Default)]
 pub struct Builder {
     policy: Policy,
@@ -47,7 +47,7 @@
 }
 
 impl Policy {
-    /// Starts from the defaults.
+    /// Returns a builder that starts from the defaults.
     ///
     /// ```
     /// use std::time::Duration;
@@ -84,7 +84,7 @@
                 }
             )*
 
-            /// The policy as set.
+            /// Returns the policy.
             pub fn build(self) -> Policy {
                 self.policy
             }
@@ -97,28 +97,30 @@
     heartbeat_interval: Duration,
     /// Silence after which an instance is suspect (16 s: three heartbeats and their jitter).
     suspect_after: Duration,
-    /// Silence after which an observer votes to remove it (60 s).
+    /// Silence after which an observer votes to remove an instance (60 s).
     remove_after: Duration,
-    /// Silence after which an observer votes when nothing of the zone is heard (1 h: regions
-    /// part for minutes, and come back without a removal).
+    /// Silence after which an observer votes to remove an instance while nothing is received from
+    /// its whole zone (1 h: network partitions between regions last minutes and should heal
+    /// without removals).
     remove_zone_after: Duration,
-    /// How long a vote counts (60 s); it is repeated while the silence lasts.
+    /// How long a vote counts (60 s). An observer repeats its vote while the silence lasts.
     vote_ttl: Duration,
-    /// How long a record of a gone instance is kept (6 h).
+    /// How long the record of a gone instance is kept (6 h).
     tombstone_ttl: Duration,
-    /// How old a record must be before a listing that has never shown it counts against it (60 s).
+    /// The age from which a record that no listing has shown counts as missing from a listing
+    /// (60 s).
     grace: Duration,
-    /// How long a daemon waits for news before it asks a neighbour (5 s).
+    /// How long a daemon waits for an update before it asks a neighbour (5 s).
     update_timeout: Duration,
-    /// The least average time between two calls that a zone's daemons make to the platform as
-    /// their last resort (200 ms).
+    /// The least average time between two fallback calls to the platform by all daemons of a zone
+    /// together (200 ms).
     fallback_interval: Duration,
-    /// Observers of an instance inside its zone (4); one of each other zone comes on top.
+    /// Observers of an instance inside its own zone (4). Each other zone adds one.
     zone_observers: usize,
     /// Instances of each zone that watch the platform (3).
     watchers: usize,
-    /// Most messages that one instance sends in a fan-out tree (8).
+    /// The most instances to which one instance relays a message in a fan-out tree (8).
     fanout: usize,
-    /// Most instances that the platform's word alone removes within a minute (16).
+    /// The most silent instances that listings alone may remove within a minute (16).
     max_listing_removals: usize,
 }
--- a/crates/roster/src/record.rs
+++ b/crates/roster/src/record.rs
@@ -1,11 +1,11 @@
-//! What is announced of an instance, and how two announcements merge.
+//! The announcement of an instance, and the merging of two of them.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use unit::{Fingerprint, Incarnation, Instance, Service, Zone};
 
-/// Where an instance is in its life; within one incarnation it only moves down this list.
+/// The state of an instance. Within one incarnation it only moves down this list.
 #[derive(
     Debug,
     Clone,
@@ -24,7 +24,7 @@
     /// It takes new work.
     #[display("live")]
     Live,
-    /// It finishes what runs and takes no new work.
+    /// It finishes running requests and takes no new work.
     #[display("leaving")]
     Leaving,
     /// It has stopped, or was removed by a quorum of observers.
@@ -34,16 +34,16 @@
 
 /// The announcement of one instance.
 ///
-/// The same shape is stored on the platform as JSON under `instances/NAME` and relayed between
-/// daemons.
+/// It has the same form on the platform, where it is stored as JSON under `instances/NAME`, and
+/// between daemons, which relay it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
     /// The instance that the record is about.
     pub instance: Instance,
-    /// Which of its lives the record is about.
+    /// The incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Where the instance is in this life.
+    /// The state of this incarnation.
     pub state: State,
     /// The availability zone it runs in.
     pub zone: Zone,
@@ -51,39 +51,39 @@
     pub region: String,
     /// The service whose requests its target answers.
     pub service: Service,
-    /// Where its daemon accepts links.
+    /// The address at which its daemon accepts links.
     pub link: SocketAddr,
-    /// The certificate that its daemon shows on links.
+    /// The fingerprint of the certificate that its daemon presents on links.
     pub fingerprint: Fingerprint,
 }
 
-/// What became of a record that was merged.
+/// The result of merging a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Merge {
     /// The instance was not known.
     New,
     /// The record replaced an earlier one of the same instance.
     Changed,
-    /// What was known is as new or newer.
+    /// The record held is as new or newer.
     Old,
 }
 
 impl Record {
-    /// Tells whether this record replaces `other`, which is about the same instance.
+    /// Whether this record replaces `other`, which is about the same instance.
     ///
-    /// The higher incarnation wins, then the later state. What is left is a fixed order over the
-    /// other fields: two processes under one name and incarnation are an operator's mistake, but
-    /// all daemons must still agree on one of them.
+    /// The higher incarnation wins, then the later state, then a fixed order over the other fields.
+    /// Two processes under one name and incarnation are an operator's mistake, but all daemons must
+    /// still agree on one of them.
     pub fn supersedes(&self, other: &Record) -> bool {
         self.precedence() > other.precedence()
     }
 
-    /// The later of two records about one instance: commutative, associative and idempotent.
+    /// The record that supersedes the other: commutative, associative and idempotent.
     pub fn join(self, other: Record) -> Record {
         if other.supersedes(&self) { other } else { self }
     }
 
-    /// Whether both say the same of where the instance is, whichever lives of it they are about.
+    /// Whether both records have the same address, zone and service, in whichever incarnations.
     pub fn same_place(&self, other: &Record) -> bool {
         let place = |record: &Record| (record.link, record.zone.clone(), record.service.clone());
         self.instance == other.instance && place(self) == place(other)
--- a/crates/roster/src/shared.rs
+++ b/crates/roster/src/shared.rs
@@ -1,4 +1,4 @@
-//! A roster shared by threads, with a cheap way to read targets.
+//! A roster shared between threads, with cheap reads of targets.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,23 +12,23 @@
 use crate::roster::Roster;
 use crate::target::Target;
 
-/// How many shards the snapshots and the last hearings are spread over.
+/// How many shards the snapshots and sightings are divided into.
 const SHARDS: usize = 16;
 
-type Views = RwLock<BTreeMap<Service, Arc<[Target]>>>;
-type Hearings = Mutex<BTreeMap<Instance, Instant>>;
+type Snapshots = RwLock<BTreeMap<Service, Arc<[Target]>>>;
+type Sightings = Mutex<BTreeMap<Instance, Instant>>;
 
 /// A roster behind locks.
 ///
-/// Entries read targets on every call, and every answer is a sign of life. Neither takes the
-/// roster's own lock, under which a listing of 1,800 records may be merged: targets are read from
-/// a snapshot that is swapped when the service's targets change, and signs of life are noted in a
-/// shard and taken over by the next [`Shared::with`].
+/// Call paths read targets on every call, and every answer shows that its sender is alive. Neither
+/// takes the roster's own lock, under which a listing of 1,800 records may be merged: targets are
+/// read from a snapshot, which is replaced when the service's targets change, and sightings are
+/// stored in a shard and applied to the roster by the next [`Shared::with`].
 #[derive(Debug)]
 pub struct Shared {
     roster: Mutex<Roster>,
-    views: [Views; SHARDS],
-    hearings: [Hearings; SHARDS],
+    snapshots: [Snapshots; SHARDS],
+    sightings: [Sightings; SHARDS],
     version: AtomicU64,
 }
 
@@ -37,12 +37,12 @@
 }
 
 impl Shared {
-    /// Shares a roster.
+    /// Wraps a roster and publishes its first snapshots.
     pub fn new(roster: Roster) -> Shared {
         let shared = Shared {
             roster: Mutex::new(roster),
-            views: Default::default(),
-            hearings: Default::default(),
+            snapshots: Default::default(),
+            sightings: Default::default(),
             version: AtomicU64::new(0),
         };
         shared.with(|_| ());
@@ -54,27 +54,27 @@
     /// The job must be short: it does no I/O and holds no other lock.
     pub fn with<T>(&self, job: impl FnOnce(&mut Roster) -> T) -> T {
         let mut roster = self.roster.lock();
-        self.take_hearings(&mut roster);
+        self.apply_sightings(&mut roster);
         let result = job(&mut roster);
         self.publish(&mut roster);
         result
     }
 
-    /// The instances of a service that take new work, as last published.
+    /// The live instances of a service, as last published.
     pub fn live(&self, service: &Service) -> Arc<[Target]> {
-        let views = self.views[shard(service.as_str())].read();
-        views.get(service).cloned().unwrap_or_default()
+        let snapshots = self.snapshots[shard(service.as_str())].read();
+        snapshots.get(service).cloned().unwrap_or_default()
     }
 
-    /// Notes that something came from `instance`.
+    /// Records that something was received from `instance`.
     ///
     /// A suspect is cleared by the next [`Shared::with`], at the latest by the next review.
     pub fn mark_seen(&self, now: Instant, instance: &Instance) {
-        let mut hearings = self.hearings[shard(instance.as_str())].lock();
-        match hearings.get_mut(instance) {
+        let mut sightings = self.sightings[shard(instance.as_str())].lock();
+        match sightings.get_mut(instance) {
             Some(at) => *at = now.max(*at),
             None => {
-                hearings.insert(instance.clone(), now);
+                sightings.insert(instance.clone(), now);
             }
         }
     }
@@ -84,9 +84,9 @@
         Version::of(self.version.load(Ordering::Acquire))
     }
 
-    fn take_hearings(&self, roster: &mut Roster) {
-        for hearings in &self.hearings {
-            let taken = std::mem::take(&mut *hearings.lock());
+    fn apply_sightings(&self, roster: &mut Roster) {
+        for sightings in &self.sightings {
+            let taken = std::mem::take(&mut *sightings.lock());
             for (instance, at) in taken {
                 roster.mark_seen(at, &instance);
             }
@@ -96,8 +96,8 @@
     fn publish(&self, roster: &mut Roster) {
         for service in roster.take_changed_services() {
             let targets: Arc<[Target]> = roster.live(&service).into();
-            let mut views = self.views[shard(service.as_str())].write();
-            views.insert(service, targets);
+            let mut snapshots = self.snapshots[shard(service.as_str())].write();
+            snapshots.insert(service, targets);
         }
         self.version
             .store(roster.version().revision, Ordering::Release);
--- a/crates/roster/src/summary.rs
+++ b/crates/roster/src/summary.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: small digests by which two daemons find the few records that differ.
+//! Anti-entropy: digests by which two daemons find the few records that differ.
 
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
@@ -9,10 +9,10 @@
 use crate::record::{Merge, Record, State};
 use crate::roster::Roster;
 
-/// How many buckets the instances are spread over by the hash of their names.
+/// The number of buckets into which instances are divided by the hash of their names.
 ///
-/// At 1,800 instances a bucket holds 28. More buckets make the summary longer, which is sent
-/// often; fewer make a bucket longer, which is sent only when it differs.
+/// At 1,800 instances a bucket holds 28. More buckets make the summary longer, which is sent often;
+/// fewer make each bucket longer, which is sent only when it differs.
 pub const BUCKETS: usize = 64;
 
 /// The number of a bucket, below [`BUCKETS`].
@@ -31,21 +31,21 @@
 )]
 pub struct Bucket(u8);
 
-/// One digest a bucket, the same whatever the order in which the records came.
+/// One digest for each bucket, independent of the order in which records arrived.
 ///
-/// Records of gone instances are left out: daemons drop these at different times, and a digest
-/// that held them would differ, and pass them round, for ever.
+/// Records of gone instances are left out. Daemons drop these at different times, so digests that
+/// included them would differ, and daemons would exchange them for ever.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     digests: Vec<u64>,
 }
 
-/// What came of the records of a neighbour's bucket.
+/// The result of merging a neighbour's records of a bucket.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Exchange {
-    /// Records that were news here.
+    /// Records that changed this roster.
     pub updates: Vec<Record>,
-    /// Records that the neighbour lacks, or holds in an older form; to be sent to it.
+    /// Records that the neighbour lacks or holds in an older form; to be sent to it.
     pub reply: Vec<Record>,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl Summary {
-    /// All digests in one, for heartbeats: equal rosters have equal totals.
+    /// A digest over all buckets, for heartbeats: equal rosters have equal totals.
     pub fn total(&self) -> u64 {
         let mut state = Xxh3::new();
         for digest in &self.digests {
@@ -78,7 +78,7 @@
         state.digest()
     }
 
-    /// Adds a record. Addition commutes, so the order doesn't matter, and it can be undone.
+    /// Adds a record. Addition is commutative, so the order doesn't matter, and it can be undone.
     pub(crate) fn add(&mut self, record: &Record, digest: u64) {
         if record.state != State::Gone {
             let at = Bucket::of(&record.instance).index();
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The buckets in which `self` and `other` differ; all of them if the shapes differ.
+    /// The buckets in which `self` and `other` differ; a digest that one of them lacks differs.
     fn differing(&self, other: &Summary) -> Vec<Bucket> {
         let at = |number: &usize| self.digests.get(*number) != other.digests.get(*number);
         let numbers = (0..BUCKETS).filter(at);
@@ -101,7 +101,7 @@
     }
 }
 
-/// The digest of one record over all its fields, each with its length before it.
+/// The digest of one record over all its fields, each prefixed with its length.
 pub(crate) fn digest(record: &Record) -> u64 {
     let link = record.link.to_string();
     let parts: [&[u8]; 8] = [
@@ -118,7 +118,7 @@
 }
 
 impl Roster {
-    /// The digests of what is held, kept up to date by each merge.
+    /// The digests of the records held, kept up to date by each merge.
     pub fn summary(&self) -> &Summary {
         &self.summary
     }
@@ -135,10 +135,10 @@
         held.filter(inside).cloned().collect()
     }
 
-    /// Merges a neighbour's records of a bucket, and says what it should get in return.
+    /// Merges a neighbour's records of a bucket, and returns what the neighbour is to be sent.
     ///
-    /// A gone instance is named only to a neighbour that holds it as live: so tombstones reach
-    /// all who need them, and still age out everywhere.
+    /// The record of a gone instance is sent only to a neighbour that holds the instance as live.
+    /// So tombstones reach all who need them, and still expire everywhere.
     pub fn exchange(&mut self, now: Instant, bucket: Bucket, theirs: Vec<Record>) -> Exchange {
         let mut result = Exchange::default();
         let mut named = Vec::with_capacity(theirs.len());
--- a/crates/roster/src/target.rs
+++ b/crates/roster/src/target.rs
@@ -1,4 +1,4 @@
-//! An instance as a choice for work.
+//! A live instance as target selection sees it.
 
 use std::net::SocketAddr;
 
@@ -7,21 +7,21 @@
 
 use crate::record::Record;
 
-/// A live instance of a service, as the choice of target reads it.
+/// A live instance of a service, for target selection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Target {
     /// The instance.
     pub instance: Instance,
-    /// Which of its lives is live.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: Zone,
     /// Its region.
     pub region: String,
-    /// Where its daemon accepts links.
+    /// The address at which its daemon accepts links.
     pub link: SocketAddr,
-    /// It has fallen silent, here or at an observer. Avoid it while others are left; it has not
-    /// been removed, and may answer.
+    /// Whether the instance is silent, as seen here or by an observer. Target selection avoids it
+    /// while there are others. It has not been removed, and may still answer.
     pub suspect: bool,
 }
 
