--- a/crates/roster/src/ask.rs
+++ b/crates/roster/src/ask.rs
@@ -1,4 +1,5 @@
-//! What a daemon does that hears no news: it asks a neighbour, and only then the platform.
+//! The fallback of a daemon that receives no updates: it asks neighbours first, and then the
+//! platform.
 
 use std::time::Duration;
 
@@ -9,87 +10,95 @@
 use crate::roster::Roster;
 
 /// How many neighbours are asked before the platform.
-const NEIGHBOURS: u32 = 3;
-/// How often the round of calls to the platform doubles while nothing comes of them.
-const DOUBLINGS: u32 = 3;
+const NEIGHBOUR_ATTEMPTS: u32 = 3;
+/// How many times the average wait between calls to the platform doubles without an answer.
+const MAX_DOUBLINGS: u32 = 3;
 
-/// Whom to ask for news.
+/// Where to request updates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ask {
-    /// Another daemon, by its summary and versions.
+    /// From another daemon, with its summary and versions.
     Peer(Instance),
-    /// The platform itself.
+    /// From the platform.
     Platform,
 }
 
-/// How far a daemon is with asking.
+/// The state of the fallback since the last update.
 #[derive(Debug)]
-pub(crate) struct Asking {
+pub(crate) struct Fallback {
     last_update: Instant,
     next: Option<Instant>,
-    tries: u32,
+    attempts: u32,
 }
 
-impl Asking {
-    pub(crate) fn new(now: Instant) -> Asking {
-        Asking {
+impl Fallback {
+    pub(crate) fn new(now: Instant) -> Fallback {
+        Fallback {
             last_update: now,
             next: None,
-            tries: 0,
+            attempts: 0,
         }
     }
 }
 
 impl Roster {
-    /// Notes that news, or word that there is none, has come: by relay, heartbeat or answer.
+    /// Records that an update, or a message that there is none, was received: by relay, heartbeat
+    /// or answer.
     pub fn update_received(&mut self, now: Instant) {
-        self.asking = Asking::new(now);
+        self.fallback = Fallback::new(now);
     }
 
-    /// Whom to ask now, if no news has come for too long.
+    /// Returns where to request updates now, if none has been received for too long.
     ///
-    /// Three neighbours are asked first, each after a jittered wait. Then comes the platform, at
-    /// a time drawn evenly from twice a round, where a round is the zone's size times
-    /// [`fallback_interval`](crate::Builder::fallback_interval) and at least [`update_timeout`](crate::Builder::update_timeout). However many
-    /// daemons have lost their watchers, a zone makes about one call each gap (5 a second); the
-    /// round doubles three times while no answer comes.
+    /// Three neighbours are asked first, each after a jittered wait. Then follow calls to the
+    /// platform, each after a wait drawn uniformly between zero and two rounds. A round is the
+    /// number of instances in the zone times
+    /// [`fallback_interval`](crate::Builder::fallback_interval), and at least
+    /// [`update_timeout`](crate::Builder::update_timeout). So however many daemons have lost their
+    /// watchers, a zone makes about one call in each interval (5 a second). The round doubles up to
+    /// three times while no answer arrives.
     pub fn fallback(&mut self, now: Instant) -> Option<Ask> {
-        let quiet = self.policy.update_timeout;
-        let due = match self.asking.next {
+        let timeout = self.policy.update_timeout;
+        let due = match self.fallback.next {
             Some(next) => next,
-            None => self.asking.last_update + quiet + self.jitter(quiet),
+            None => self.fallback.last_update + timeout + self.jitter(timeout),
         };
-        self.asking.next = Some(due);
+        self.fallback.next = Some(due);
         if now < due {
             return None;
         }
-        self.asking.tries += 1;
-        if self.asking.tries > NEIGHBOURS {
-            let wait = self.turn();
-            self.asking.next = Some(now + wait);
-            let first = self.asking.tries == NEIGHBOURS + 1;
+        self.fallback.attempts += 1;
+        if self.fallback.attempts > NEIGHBOUR_ATTEMPTS {
+            let wait = self.platform_wait();
+            self.fallback.next = Some(now + wait);
+            let first = self.fallback.attempts == NEIGHBOUR_ATTEMPTS + 1;
             return (!first).then_some(Ask::Platform);
         }
-        self.asking.next = Some(now + quiet / 2 + self.jitter(quiet / 2));
-        self.neighbour().map(Ask::Peer)
+        self.fallback.next = Some(now + timeout / 2 + self.jitter(timeout / 2));
+        self.random_neighbour().map(Ask::Peer)
     }
 
-    /// A wait after which the zone's daemons together make at most one call each gap, on average.
-    fn turn(&mut self) -> Duration {
+    /// A random wait with which the daemons of a zone together make at most one call in each
+    /// interval, on average.
+    fn platform_wait(&mut self) -> Duration {
         let zone = self.zone().clone();
         let size = self.peers().filter(|record| record.zone == zone).count() + 1;
         let round = self.policy.fallback_interval * u32::try_from(size).unwrap_or(u32::MAX);
-        let fruitless = self.asking.tries.saturating_sub(NEIGHBOURS + 1);
-        let backed_off = round.max(self.policy.update_timeout) * 2u32.pow(fruitless.min(DOUBLINGS));
-        // The mean wait must be a round, so we draw from none to two.
+        let unanswered = self
+            .fallback
+            .attempts
+            .saturating_sub(NEIGHBOUR_ATTEMPTS + 1);
+        let backed_off =
+            round.max(self.policy.update_timeout) * 2u32.pow(unanswered.min(MAX_DOUBLINGS));
+        // The mean wait must be one round, so it is drawn between zero and two rounds.
         self.jitter(backed_off * 2)
     }
 
-    fn neighbour(&mut self) -> Option<Instance> {
+    fn random_neighbour(&mut self) -> Option<Instance> {
         let zone = self.zone();
         let others = self.entries.values().filter(|entry| {
-            let near = entry.record.zone == *zone && entry.record.instance != self.me;
-            near && !entry.is_gone() && !entry.sight.suspect
+            let in_zone = entry.record.zone == *zone && entry.record.instance != self.me;
+            in_zone && !entry.is_gone() && !entry.observation.suspect
         });
         let names: Vec<Instance> = others.map(|entry| entry.record.instance.clone()).collect();
         if names.is_empty() {
@@ -99,7 +108,7 @@
         names.into_iter().nth(chosen)
     }
 
-    pub(crate) fn jitter(&mut self, most: Duration) -> Duration {
-        self.rng.random_range(Duration::ZERO..=most)
+    pub(crate) fn jitter(&mut self, max: Duration) -> Duration {
+        self.rng.random_range(Duration::ZERO..=max)
     }
 }
--- a/crates/roster/src/dump.rs
+++ b/crates/roster/src/dump.rs
@@ -1,4 +1,4 @@
-//! The roster as operators see it.
+//! A dump of the roster for operators.
 
 use serde::Serialize;
 use tokio::time::Instant;
@@ -8,28 +8,28 @@
 use crate::record::State;
 use crate::roster::Roster;
 
-/// A whole roster at one moment.
+/// The contents of a roster at one moment.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Dump {
-    /// Whose roster it is.
+    /// The instance whose roster it is.
     pub me: Instance,
     /// The zone of that instance.
     pub zone: Zone,
-    /// The counter of changes.
+    /// The counter of changes; see [`Roster::version`].
     pub version: Version,
-    /// The digest by which two rosters are compared, in hex.
+    /// The digest by which two rosters are compared, in hexadecimal.
     pub total: String,
-    /// Whether this daemon takes itself to be cut off, and casts no votes.
+    /// Whether this daemon assumes that it is cut off, and casts no votes.
     pub cut_off: bool,
     /// Whether a newer process has taken this instance's name.
     pub replaced: bool,
-    /// Who watches the platform for this zone.
+    /// The instances that watch the platform for this zone.
     pub watchers: Vec<Instance>,
-    /// To whom this daemon beats.
+    /// The instances to which this daemon sends heartbeats.
     pub beats: Vec<Instance>,
-    /// Whose beats this daemon expects.
+    /// The instances from which this daemon expects heartbeats.
     pub subjects: Vec<Instance>,
-    /// Every instance known, by name.
+    /// All known instances, ordered by name.
     pub instances: Vec<Line>,
 }
 
@@ -38,24 +38,24 @@
 pub struct Line {
     /// The instance.
     pub instance: Instance,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where it is in this life.
+    /// The state of this incarnation.
     pub state: State,
     /// Its zone.
     pub zone: Zone,
     /// Its service.
     pub service: Service,
-    /// Whether the choice of target avoids it.
+    /// Whether target selection avoids it.
     pub suspect: bool,
-    /// Seconds since something was heard of it, if ever.
+    /// Seconds since something was last received from it, if ever.
     pub heard_s: Option<f64>,
-    /// The observers whose votes against it count now.
+    /// The observers that have an unexpired vote against it.
     pub votes: Vec<Instance>,
 }
 
 impl Roster {
-    /// All that is known at `now`, for operators.
+    /// Returns the state of the roster at `now`, for operators.
     pub fn dump(&self, now: Instant) -> Dump {
         let line = |entry: &Entry| self.line(now, entry);
         Dump {
@@ -80,8 +80,8 @@
             state: entry.record.state,
             zone: entry.record.zone.clone(),
             service: entry.record.service.clone(),
-            suspect: entry.sight.suspect,
-            heard_s: entry.sight.last_seen.map(age),
+            suspect: entry.observation.suspect,
+            heard_s: entry.observation.last_seen.map(age),
             votes: entry.votes.keys().cloned().collect(),
         }
     }
--- a/crates/roster/src/entry.rs
+++ b/crates/roster/src/entry.rs
@@ -1,4 +1,4 @@
-//! What one daemon holds of one instance: the record, and what it alone knows.
+//! One daemon's state for one instance: the record, and what this daemon alone has observed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,47 +10,47 @@
 use crate::record::{Record, State};
 use crate::summary;
 
-/// One instance in a roster.
+/// An instance in a roster.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) record: Record,
-    /// The hash of the name, for ranks.
+    /// The hash of the name, used for ranks.
     pub(crate) key: u64,
-    /// The digest of the record, for summaries.
+    /// The digest of the record, used for summaries.
     pub(crate) digest: u64,
-    /// When this incarnation was first known here, or when it was gone.
+    /// When this incarnation became known here, or when it was found to be gone.
     pub(crate) since: Instant,
-    /// The newest revision of the platform's listing that has shown the object.
+    /// The newest revision of the platform's listing that contained the object.
     pub(crate) listed: Option<Version>,
-    pub(crate) sight: Sight,
+    pub(crate) observation: Observation,
     /// When each observer last voted that this incarnation is silent.
     pub(crate) votes: BTreeMap<Instance, Instant>,
 }
 
-/// What this daemon has seen of an instance; none of it is relayed.
+/// What this daemon has observed of an instance. None of it is relayed.
 #[derive(Debug, Default)]
-pub(crate) struct Sight {
-    /// When a link or heartbeat last brought something from it.
+pub(crate) struct Observation {
+    /// When something was last received from it over a link or as a heartbeat.
     pub(crate) last_seen: Option<Instant>,
-    /// When a link to it went silent, if nothing was heard since.
+    /// When a link to it became unresponsive, if nothing was received since.
     pub(crate) link_lost: Option<Instant>,
-    /// Since when this daemon has been one of its observers, and expects heartbeats.
-    pub(crate) expected: Option<Instant>,
+    /// Since when this daemon has been one of its observers and expects heartbeats.
+    pub(crate) expected_since: Option<Instant>,
     /// When this daemon last voted that it is silent.
-    pub(crate) voted: Option<Instant>,
-    /// Whether the choice of target should avoid it.
+    pub(crate) voted_at: Option<Instant>,
+    /// Whether target selection should avoid it.
     pub(crate) suspect: bool,
 }
 
-impl Sight {
-    /// For how long heartbeats that this daemon should get have failed to come.
+impl Observation {
+    /// For how long expected heartbeats have been missing, or `None` if this daemon expects none.
     pub(crate) fn silence(&self, now: Instant) -> Option<Duration> {
-        let expected = self.expected?;
+        let expected = self.expected_since?;
         let last = self.last_seen.map_or(expected, |heard| heard.max(expected));
         Some(now.saturating_duration_since(last))
     }
 
-    /// Whether something was heard within the last `span`.
+    /// Whether something was received within the last `span`.
     pub(crate) fn seen_within(&self, now: Instant, span: Duration) -> bool {
         let age = self
             .last_seen
@@ -58,10 +58,10 @@
         age.is_some_and(|age| age < span)
     }
 
-    /// Whether heartbeats have failed for `span`, or a link has gone silent since.
+    /// Whether heartbeats have been missing for `span`, or a link has become unresponsive since.
     pub(crate) fn silent_for(&self, now: Instant, span: Duration) -> bool {
-        let quiet = self.silence(now).is_some_and(|silence| silence >= span);
-        quiet || self.link_lost.is_some()
+        let silent = self.silence(now).is_some_and(|silence| silence >= span);
+        silent || self.link_lost.is_some()
     }
 }
 
@@ -73,7 +73,7 @@
             record,
             since: now,
             listed: None,
-            sight: Sight::default(),
+            observation: Observation::default(),
             votes: BTreeMap::new(),
         }
     }
@@ -86,14 +86,14 @@
         self.record.state == State::Live
     }
 
-    /// Takes a superseding record in. A new incarnation starts with a clean sight and no votes.
+    /// Stores a superseding record. A new incarnation starts without observations and votes.
     pub(crate) fn replace(&mut self, now: Instant, record: Record) {
-        let reborn = record.incarnation != self.record.incarnation;
-        if reborn || record.state == State::Gone {
+        let new_incarnation = record.incarnation != self.record.incarnation;
+        if new_incarnation || record.state == State::Gone {
             self.since = now;
             self.listed = None;
             self.votes.clear();
-            self.sight = Sight::default();
+            self.observation = Observation::default();
         }
         self.digest = summary::digest(&record);
         self.record = record;
--- a/crates/roster/src/listing.rs
+++ b/crates/roster/src/listing.rs
@@ -1,4 +1,4 @@
-//! What the platform's listing of announcements adds, and what its gaps may remove.
+//! Applies the platform's listings and watch events, and limits what missing objects may remove.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,71 +10,74 @@
 use crate::record::{Merge, Record, State};
 use crate::roster::Roster;
 
-/// The time in which [`Builder::max_listing_removals`](crate::Builder::max_listing_removals) removals may happen.
+/// The window in which at most
+/// [`Builder::max_listing_removals`](crate::Builder::max_listing_removals) removals may happen.
 const WINDOW: Duration = Duration::from_secs(60);
 
-/// What a listing led to.
+/// The effect of a listing.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Records that were news here, removals included; they are to be relayed.
+    /// Records that changed this roster, removals included; to be relayed.
     pub updates: Vec<Record>,
-    /// Own-zone instances that are heard though their objects are missing: a watcher writes
-    /// these objects again, only where none is, and within its budget of calls.
+    /// Instances of this zone that were seen recently although their objects are missing. A watcher
+    /// writes these objects again, only if no object exists, and within its budget of calls.
     pub restore: Vec<Record>,
-    /// Objects of instances that are known to be gone: a watcher deletes these, on condition
-    /// that they are still at the version listed.
+    /// Listed objects of gone instances. A watcher deletes these, on condition that they are still
+    /// at the listed version.
     pub stale: Vec<Record>,
-    /// Instances whose objects are missing and that were kept all the same.
+    /// Instances that were kept although their objects are missing.
     pub held: Vec<Instance>,
 }
 
-/// How many instances the platform's word alone may still remove.
+/// How many instances missing objects may still remove in the present window.
 #[derive(Debug)]
 pub(crate) struct Allowance {
     revision: Option<Version>,
-    window: Instant,
-    left: usize,
+    window_start: Instant,
+    remaining: usize,
 }
 
 impl Allowance {
-    pub(crate) fn new(now: Instant, most: usize) -> Allowance {
+    pub(crate) fn new(now: Instant, max: usize) -> Allowance {
         Allowance {
             revision: None,
-            window: now,
-            left: most,
+            window_start: now,
+            remaining: max,
         }
     }
 }
 
 impl Roster {
-    /// Takes in a whole listing of `instances/` at the platform's `revision`.
+    /// Applies a complete listing of `instances/` at the platform's `revision`.
     ///
-    /// What it shows is merged. What it lacks is removed with care, for a store that has lost
-    /// its data, or was restored from an older copy, lists few instances or none while all of
-    /// them work. Believing it would leave callers without targets. So an instance is kept if
+    /// Listed records are merged. Missing ones are removed with care: a store that has lost its
+    /// data, or was restored from an older copy, lists few instances or none while all of them
+    /// work. Removing these would leave callers without targets. So an instance is kept if one of
+    /// these holds:
     ///
-    /// - the listing may be older than its announcement: it was never listed and is fresh;
-    /// - the listing is not newer than the last one;
-    /// - it is heard on links or by heartbeats;
-    /// - more instances are missing than may vanish within a minute. Real departures say
-    ///   `Leaving` first and don't count, crashes are found by observers, and so a sharp drop is
-    ///   the platform's fault; an object deleted by hand is one or a few.
+    /// - The listing may be older than its announcement: it was never listed, and the grace time
+    ///   has not passed.
+    /// - The listing is not newer than the last one.
+    /// - Something was received from it recently, over a link or as a heartbeat.
+    /// - More silent instances are missing than may be removed within a minute. Instances that
+    ///   depart announce `Leaving` first and don't count, and observers detect crashes. So a sharp
+    ///   drop is a fault of the platform, whereas objects deleted by hand are one or a few.
     pub fn apply_listing(&mut self, now: Instant, shown: &[Record], revision: Version) -> Listing {
         let mut listing = Listing::default();
         let step = self.advance(revision);
         for record in shown {
-            self.apply_shown(now, record, revision, &mut listing);
+            self.apply_listed(now, record, revision, &mut listing);
         }
         let names: BTreeSet<&Instance> = shown.iter().map(|record| &record.instance).collect();
         let missing = self.missing_from(now, &names, revision, step);
         self.apply_missing(now, missing, step, &mut listing);
-        if step == Step::Back {
-            self.start_anew(now);
+        if step == Step::Backwards {
+            self.reset_listed(now);
         }
         listing
     }
 
-    /// Takes in a listing that may be old: what it shows is merged, and what it lacks says nothing.
+    /// Merges the records of a listing that may be stale. Missing records are ignored.
     pub fn apply_old_listing(&mut self, now: Instant, shown: &[Record]) -> Listing {
         let is_new = |record: &&Record| self.merge(now, (*record).clone()) != Merge::Old;
         let updates = shown.iter().filter(is_new).cloned().collect();
@@ -84,39 +87,40 @@
         }
     }
 
-    /// Takes in one deleted object, as a watch on the platform tells it.
+    /// Applies the deletion of one object, as reported by a watch on the platform.
     pub fn apply_deleted(&mut self, now: Instant, name: &Instance, revision: Version) -> Listing {
         let mut listing = Listing::default();
         let step = self.advance(revision);
-        // A name may live again before the deletion of its former object is told here.
+        // A new instance may use the name before the deletion of the former object is reported
+        // here.
         let entry = self.entries.get(name);
-        if entry.is_some_and(|entry| self.is_dated(now, entry, revision, step)) {
+        if entry.is_some_and(|entry| self.counts_as_missing(now, entry, revision, step)) {
             self.apply_missing(now, vec![name.clone()], step, &mut listing);
         }
         listing
     }
 
-    /// Takes in one written object, as a watch on the platform tells it.
+    /// Applies the write of one object, as reported by a watch on the platform.
     pub fn apply_written(&mut self, now: Instant, record: &Record, revision: Version) -> Listing {
         let mut listing = Listing::default();
         self.advance(revision);
-        self.apply_shown(now, record, revision, &mut listing);
+        self.apply_listed(now, record, revision, &mut listing);
         listing
     }
 
-    /// Moves to the revision of a listing or change, which may also have gone back.
+    /// Stores the revision of a listing or change, and compares it with the one before.
     fn advance(&mut self, revision: Version) -> Step {
         match self.allowance.revision.replace(revision) {
-            Some(before) if revision < before || revision.era != before.era => Step::Back,
+            Some(before) if revision < before || revision.era != before.era => Step::Backwards,
             Some(before) if revision == before => Step::Same,
             _ => Step::Newer,
         }
     }
 
-    /// Starts anew from a restored store: nothing counts as listed, so that the gaps of later
-    /// listings are held against nobody for a grace time.
-    fn start_anew(&mut self, now: Instant) {
-        log::warn!("roster: the platform's revision went back.");
+    /// Marks all instances as never listed after the store was restored, so that their absence from
+    /// later listings has no effect for a grace time.
+    fn reset_listed(&mut self, now: Instant) {
+        log::warn!("roster: the platform's revision went backwards; objects count as unlisted.");
         let entries = self.entries.values_mut();
         for entry in entries.filter(|entry| !entry.is_gone()) {
             entry.listed = None;
@@ -124,7 +128,7 @@
         }
     }
 
-    fn apply_shown(
+    fn apply_listed(
         &mut self,
         now: Instant,
         record: &Record,
@@ -138,14 +142,14 @@
             return;
         };
         entry.listed = Some(revision);
-        if entry.is_gone() && self.may_sweep(record) {
+        if entry.is_gone() && self.may_delete_object(record) {
             listing.stale.push(record.clone());
         }
     }
 
-    /// Whether deleting the object of a gone instance falls to this daemon's zone: it is its own,
-    /// or nobody there is left to do it.
-    fn may_sweep(&self, record: &Record) -> bool {
+    /// Whether this daemon's zone has to delete the object of a gone instance: the instance was in
+    /// this zone, or its own zone has no watcher left.
+    fn may_delete_object(&self, record: &Record) -> bool {
         record.zone == *self.zone() || self.watchers(&record.zone, 1).is_empty()
     }
 
@@ -156,22 +160,28 @@
         revision: Version,
         step: Step,
     ) -> Vec<Instance> {
-        let dated = |entry: &&Entry| self.is_dated(now, entry, revision, step);
+        let missing = |entry: &&Entry| self.counts_as_missing(now, entry, revision, step);
         let entries = self.entries.values();
         let absent = entries.filter(|entry| !shown.contains(&entry.record.instance));
-        let missing = absent.filter(dated);
+        let missing = absent.filter(missing);
         missing.map(|entry| entry.record.instance.clone()).collect()
     }
 
-    /// Whether an object that is missing at `revision` counts against its instance: it was listed
-    /// before, or has had the time to be.
-    fn is_dated(&self, now: Instant, entry: &Entry, revision: Version, step: Step) -> bool {
-        let dated = match entry.listed {
-            _ if step == Step::Back => true,
+    /// Whether the absence of an object at `revision` counts against its instance: it was listed
+    /// before, or its grace time has passed.
+    fn counts_as_missing(
+        &self,
+        now: Instant,
+        entry: &Entry,
+        revision: Version,
+        step: Step,
+    ) -> bool {
+        let missing = match entry.listed {
+            _ if step == Step::Backwards => true,
             Some(listed) => listed < revision,
             None => now.saturating_duration_since(entry.since) >= self.policy.grace,
         };
-        dated && !entry.is_gone()
+        missing && !entry.is_gone()
     }
 
     fn apply_missing(
@@ -181,48 +191,51 @@
         step: Step,
         listing: &mut Listing,
     ) {
-        let mut vanished = Vec::new();
+        let mut removable = Vec::new();
         let mut silent = Vec::new();
         for name in missing {
-            match self.standing(now, &name) {
-                Standing::Own => self.rewrite(now),
-                Standing::Heard => self.hold_heard(name, listing),
-                Standing::Left => vanished.push(name),
-                Standing::Silent => silent.push(name),
+            match self.presence(now, &name) {
+                Presence::Own => self.schedule_rewrite(now),
+                Presence::Seen => self.keep_seen(name, listing),
+                Presence::Leaving => removable.push(name),
+                Presence::Silent => silent.push(name),
             }
         }
         if step != Step::Newer {
-            silent.append(&mut vanished);
+            silent.append(&mut removable);
         } else if self.spend(now, silent.len()) {
-            vanished.append(&mut silent);
+            removable.append(&mut silent);
         }
         if !silent.is_empty() {
             let count = silent.len();
-            log::warn!("roster: {count} objects are missing, and their instances kept.");
+            log::warn!("roster: kept {count} instances whose objects are missing on the platform.");
         }
         listing.held.append(&mut silent);
-        for name in vanished {
-            self.vanish(now, &name, listing);
+        for name in removable {
+            self.remove_unlisted(now, &name, listing);
         }
     }
 
-    fn standing(&self, now: Instant, name: &Instance) -> Standing {
+    fn presence(&self, now: Instant, name: &Instance) -> Presence {
         let Some(entry) = self.entries.get(name) else {
-            return Standing::Left;
+            return Presence::Leaving;
         };
         if *name == self.me {
-            return Standing::Own;
+            return Presence::Own;
         }
-        if entry.sight.seen_within(now, self.policy.suspect_after) {
-            return Standing::Heard;
+        if entry
+            .observation
+            .seen_within(now, self.policy.suspect_after)
+        {
+            return Presence::Seen;
         }
         match entry.record.state {
-            State::Live => Standing::Silent,
-            State::Leaving | State::Gone => Standing::Left,
+            State::Live => Presence::Silent,
+            State::Leaving | State::Gone => Presence::Leaving,
         }
     }
 
-    fn hold_heard(&mut self, name: Instance, listing: &mut Listing) {
+    fn keep_seen(&mut self, name: Instance, listing: &mut Listing) {
         let record = self.get(&name).cloned();
         let live = record.filter(|record| record.state == State::Live);
         let near = live.filter(|record| record.zone == *self.zone());
@@ -230,25 +243,25 @@
         listing.held.push(name);
     }
 
-    fn vanish(&mut self, now: Instant, name: &Instance, listing: &mut Listing) {
+    fn remove_unlisted(&mut self, now: Instant, name: &Instance, listing: &mut Listing) {
         let Some(gone) = self.get(name).map(Record::gone) else {
             return;
         };
-        if self.place(now, gone.clone()) != Merge::Old {
+        if self.upsert(now, gone.clone()) != Merge::Old {
             listing.updates.push(gone);
         }
     }
 
-    /// Takes `count` removals from the allowance of this minute; all or none.
+    /// Takes `count` removals from the allowance of the present window, if that many remain.
     fn spend(&mut self, now: Instant, count: usize) -> bool {
-        if now.saturating_duration_since(self.allowance.window) >= WINDOW {
-            self.allowance.window = now;
-            self.allowance.left = self.policy.max_listing_removals;
+        if now.saturating_duration_since(self.allowance.window_start) >= WINDOW {
+            self.allowance.window_start = now;
+            self.allowance.remaining = self.policy.max_listing_removals;
         }
-        if count > self.allowance.left {
+        if count > self.allowance.remaining {
             return false;
         }
-        self.allowance.left -= count;
+        self.allowance.remaining -= count;
         true
     }
 }
@@ -258,14 +271,14 @@
 enum Step {
     Newer,
     Same,
-    /// The store was restored, or the answer comes late.
-    Back,
+    /// The store was restored, or the answer is late.
+    Backwards,
 }
 
-/// How an instance stands whose object is missing.
-enum Standing {
+/// The state of an instance whose object is missing.
+enum Presence {
     Own,
-    Heard,
-    Left,
+    Seen,
+    Leaving,
     Silent,
 }
--- a/crates/roster/src/observer.rs
+++ b/crates/roster/src/observer.rs
@@ -1,4 +1,4 @@
-//! Who watches the platform for a zone, and who observes whom.
+//! The selection of each zone's platform watchers and of each instance's observers.
 
 use std::collections::BTreeSet;
 
@@ -9,27 +9,27 @@
 use crate::record::State;
 use crate::roster::Roster;
 
-/// How many more places down the rank a voter may stand than this roster would choose.
+/// How many additional ranks a voter may be from the observers that this roster selects.
 ///
-/// Rosters differ for moments; an observer by its own roster may be the next one by ours.
-const SLACK: usize = 4;
+/// Rosters differ for moments: an observer by its own roster may be the next in rank by this one.
+const RANK_SLACK: usize = 4;
 
-/// The instances that this daemon observes, worked out again after each change of members.
+/// The instances that this daemon observes, recomputed after each change of membership.
 #[derive(Debug, Default)]
 pub(crate) struct Subjects {
-    pub(crate) members: u64,
+    pub(crate) membership: u64,
     pub(crate) names: BTreeSet<Instance>,
 }
 
 impl Roster {
-    /// The instances of a zone that watch the platform for it: the lowest `count` by rank.
+    /// The instances of a zone that watch the platform for it: the `count` lowest by rank.
     ///
-    /// A hint: suspects are passed over, so two daemons may think differently for a while, and a
-    /// zone has one watcher more or less. Nothing but the number of calls depends on it.
+    /// Suspects are left out, so two daemons may select differently for a while, and a zone may
+    /// have one watcher more or less. Only the number of calls to the platform depends on it.
     pub fn watchers(&self, zone: &Zone, count: usize) -> Vec<Instance> {
-        let entries = self.inside(zone);
-        let live = entries.filter(|entry| entry.is_live() && !entry.sight.suspect);
-        lowest(live, rank::key(zone.as_str()), count)
+        let entries = self.in_zone(zone);
+        let live = entries.filter(|entry| entry.is_live() && !entry.observation.suspect);
+        lowest_ranked(live, rank::key(zone.as_str()), count)
     }
 
     /// Whether this daemon is one of its zone's watchers.
@@ -38,7 +38,8 @@
         watchers.contains(&self.me)
     }
 
-    /// Whom to send news that must reach every zone: the watchers of all zones, but not itself.
+    /// The instances to which an update for every zone is sent: the watchers of all zones, except
+    /// this instance.
     pub fn roots(&self) -> Vec<Instance> {
         let zones = self.zones();
         let watchers = zones
@@ -47,28 +48,28 @@
         watchers.filter(|name| *name != self.me).collect()
     }
 
-    /// The observers of an instance: some of its zone, and one of each other zone.
+    /// The observers of an instance: some of its own zone, and one of each other zone.
     ///
-    /// Each instance has its own, so that no daemon carries a whole zone's heartbeats, and so
-    /// that the two sides of any partition each hold observers of the other.
+    /// Each instance has its own observers, so that no daemon receives the heartbeats of a whole
+    /// zone, and so that each side of a network partition has observers of the other.
     pub fn observers(&self, about: &Instance) -> Vec<Instance> {
         self.ranked(about, 0)
     }
 
     /// Whether a vote of `observer` on `about` counts here.
-    pub(crate) fn may_observe(&self, observer: &Instance, about: &Instance) -> bool {
-        self.ranked(about, SLACK).contains(observer)
+    pub(crate) fn accepts_observer(&self, observer: &Instance, about: &Instance) -> bool {
+        self.ranked(about, RANK_SLACK).contains(observer)
     }
 
-    /// The zones of all instances that have not gone.
+    /// The zones of all instances that are not gone.
     pub(crate) fn zones(&self) -> BTreeSet<Zone> {
         let records = self.records().filter(|record| record.state != State::Gone);
         records.map(|record| record.zone.clone()).collect()
     }
 
-    /// Works out again whom this daemon observes, if the members have changed.
+    /// Recomputes the instances that this daemon observes, if the membership has changed.
     pub(crate) fn refresh_subjects(&mut self) {
-        if self.subjects.members == self.members() {
+        if self.subjects.membership == self.membership() {
             return;
         }
         let present = self.entries.values().filter(|entry| !entry.is_gone());
@@ -77,12 +78,13 @@
             .map(|entry| entry.record.instance.clone())
             .collect();
         self.subjects = Subjects {
-            members: self.members(),
+            membership: self.membership(),
             names,
         };
     }
 
-    /// Whether this daemon is an observer of `about`: few of its own zone rank before it.
+    /// Whether this daemon is an observer of `about`: few enough instances of its zone rank before
+    /// it.
     ///
     /// This counts instead of sorting, since it runs for every instance after each change.
     fn observes(&self, about: &Entry) -> bool {
@@ -91,12 +93,16 @@
             let other = entry.record.instance != about.record.instance;
             other && rank::mixed(about.key, entry.key) < own
         };
-        let wanted = self.wanted(about, self.zone());
-        let better = self.inside(self.zone()).filter(before).take(wanted).count();
+        let wanted = self.observer_count(about, self.zone());
+        let better = self
+            .in_zone(self.zone())
+            .filter(before)
+            .take(wanted)
+            .count();
         about.record.instance != self.me && better < wanted
     }
 
-    fn wanted(&self, about: &Entry, zone: &Zone) -> usize {
+    fn observer_count(&self, about: &Entry, zone: &Zone) -> usize {
         if about.record.zone == *zone {
             self.policy.zone_observers
         } else {
@@ -109,22 +115,22 @@
             return Vec::new();
         };
         let choose = |zone: &Zone| {
-            let inside = self.inside(zone);
+            let inside = self.in_zone(zone);
             let others = inside.filter(|entry| entry.record.instance != about.record.instance);
-            lowest(others, about.key, self.wanted(about, zone) + slack)
+            lowest_ranked(others, about.key, self.observer_count(about, zone) + slack)
         };
         self.zones().iter().flat_map(choose).collect()
     }
 
-    fn inside<'a>(&'a self, zone: &Zone) -> impl Iterator<Item = &'a Entry> + use<'a> {
+    fn in_zone<'a>(&'a self, zone: &Zone) -> impl Iterator<Item = &'a Entry> + use<'a> {
         let zone = zone.clone();
         let present = self.entries.values().filter(|entry| !entry.is_gone());
         present.filter(move |entry| entry.record.zone == zone)
     }
 }
 
-/// The names of the `count` entries that rank lowest for `subject`, the lowest first.
-fn lowest<'a>(
+/// The names of the `count` entries that rank lowest for `subject`, lowest first.
+fn lowest_ranked<'a>(
     entries: impl Iterator<Item = &'a Entry>,
     subject: u64,
     count: usize,
--- a/crates/roster/src/review.rs
+++ b/crates/roster/src/review.rs
@@ -1,4 +1,4 @@
-//! Liveness without heartbeats to the platform: who is heard, who is suspect, who gets a vote.
+//! Failure detection without heartbeats to the platform: marks suspects and casts votes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,135 +11,138 @@
 use crate::roster::Roster;
 use crate::vote::{Finding, Verdict, Vote};
 
-/// The longest time between two reviews that is taken for normal.
-const PAUSE: Duration = Duration::from_secs(5);
-/// How many silent instances, or zones with some, tell a parted network from a dead instance.
-const PARTED: usize = 2;
+/// A longer time than this between two reviews means that the process was paused.
+const MAX_REVIEW_INTERVAL: Duration = Duration::from_secs(5);
+/// How many silent instances in a zone, or how many unreachable zones, indicate a network partition
+/// instead of a stopped instance.
+const MIN_PARTITION_SIGNS: usize = 2;
 
-/// What a review found.
+/// The result of a review.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Review {
-    /// This daemon's own votes; each is sent to the [observers](Roster::observers) of the
+    /// This daemon's own votes. Each is to be sent to the [observers](Roster::observers) of the
     /// instance that it is about.
     pub votes: Vec<Vote>,
-    /// Instances that these votes have removed; their records are to be relayed.
+    /// Records of instances that these votes have removed; to be relayed.
     pub removed: Vec<Record>,
 }
 
-/// What the last review could not see.
+/// What this daemon could not reach at the last review.
 #[derive(Debug, Default)]
-pub(crate) struct Blind {
-    /// This daemon was cut off.
-    cut: bool,
-    /// Zones of which nothing was heard.
+pub(crate) struct Isolation {
+    /// Whether this daemon was cut off.
+    cut_off: bool,
+    /// Zones from which nothing was received.
     zones: BTreeSet<Zone>,
 }
 
-/// How much of a zone is heard.
+/// How many instances of a zone were seen recently, and how many are silent.
 #[derive(Debug, Default)]
 struct Reach {
-    heard: usize,
+    seen: usize,
     silent: usize,
 }
 
 impl Roster {
-    /// Notes that something came from `instance` by a link or a heartbeat.
+    /// Records that a message from `instance` was received over a link or as a heartbeat.
     pub fn mark_seen(&mut self, now: Instant, instance: &Instance) {
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        entry.sight.last_seen = entry.sight.last_seen.max(Some(now));
-        entry.sight.link_lost = entry.sight.link_lost.filter(|lost| *lost > now);
-        if entry.sight.suspect {
-            self.refresh(now, instance);
+        entry.observation.last_seen = entry.observation.last_seen.max(Some(now));
+        entry.observation.link_lost = entry.observation.link_lost.filter(|lost| *lost > now);
+        if entry.observation.suspect {
+            self.refresh_suspect(now, instance);
         }
     }
 
-    /// Notes that a link to `instance` has gone silent or could not be opened.
+    /// Records that a link to `instance` has become unresponsive or could not be opened.
     ///
-    /// It is suspect here at once, until it is heard.
+    /// This daemon suspects the instance at once, until it next receives something from it.
     pub fn link_lost(&mut self, now: Instant, instance: &Instance) {
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        entry.sight.link_lost = Some(now);
-        self.refresh(now, instance);
+        entry.observation.link_lost = Some(now);
+        self.refresh_suspect(now, instance);
     }
 
-    /// Looks at all instances: marks suspects, ages what is old, and casts votes.
+    /// Reviews all instances: marks suspects, drops expired tombstones and votes, and casts votes.
     ///
     /// To be called about once a second.
     pub fn review(&mut self, now: Instant) -> Review {
-        self.forgive_pause(now);
-        self.age(now);
+        self.reset_after_pause(now);
+        self.expire(now);
         self.refresh_subjects();
-        self.expect(now);
+        self.expect_subjects(now);
         let reach = self.reach(now);
-        self.forgive_parting(now, &reach);
-        self.mark(now, &reach);
-        self.vote(now, &reach)
+        self.reset_after_partition(now, &reach);
+        self.mark_suspects(now, &reach);
+        self.cast_votes(now, &reach)
     }
 
-    /// Whether this daemon has lost sight of most of the instances that it observes.
+    /// Whether most of the instances that this daemon observes are silent.
     ///
-    /// It must then assume that it is itself cut off, and casts no votes: else a daemon whose
-    /// own network has failed would vote against all that it observes.
+    /// The daemon must then assume that it is itself cut off, and casts no votes. Otherwise a
+    /// daemon whose own network has failed would vote against everything that it observes.
     pub fn cut_off(&self, now: Instant) -> bool {
         let subjects = self.subjects.names.iter();
         let sights = subjects.filter_map(|name| self.entries.get(name));
         let silent = |silence: Duration| silence >= self.policy.suspect_after;
-        let known: Vec<bool> = sights
-            .filter_map(|entry| entry.sight.silence(now).map(silent))
+        let silences: Vec<bool> = sights
+            .filter_map(|entry| entry.observation.silence(now).map(silent))
             .collect();
-        let lost = known.iter().filter(|silent| **silent).count();
-        lost * 2 > known.len()
+        let lost = silences.iter().filter(|silent| **silent).count();
+        lost * 2 > silences.len()
     }
 
-    /// Forgets earlier silences if this process was itself paused.
+    /// Restarts all silence timers if this process was itself paused.
     ///
-    /// After a pause of a minute all heartbeats look a minute late: nobody is to be blamed for
-    /// what came while we didn't look.
-    fn forgive_pause(&mut self, now: Instant) {
-        let paused = now.saturating_duration_since(self.reviewed) > PAUSE;
-        self.reviewed = now;
+    /// After a pause of a minute all heartbeats look a minute late, although the senders have not
+    /// failed.
+    fn reset_after_pause(&mut self, now: Instant) {
+        let paused = now.saturating_duration_since(self.last_review) > MAX_REVIEW_INTERVAL;
+        self.last_review = now;
         if paused {
-            log::info!("roster: was paused, and observes anew.");
-            self.forgive(now, |_| true);
+            log::info!("roster: this process was paused; silence timers restarted.");
+            self.restart_silence(now, |_| true);
         }
     }
 
-    /// Forgets silences of a zone that is heard again, and all once this daemon isn't cut off.
+    /// Restarts the silence timers of a zone from which something is received again, and all timers
+    /// once this daemon is no longer cut off.
     ///
-    /// When regions meet again after ten minutes, the first heartbeat shows that the zone is up,
-    /// and those whose heartbeats are some seconds behind look as if they alone had been silent
-    /// for ten minutes. Votes at that moment would remove most of a region that has just come
-    /// back, and its instances would all write to the platform to refute it. Counting the silence
-    /// from the zone's return gives each the time that a dead instance has.
-    fn forgive_parting(&mut self, now: Instant, reach: &BTreeMap<Zone, Reach>) {
-        let cut = self.cut_off(now);
-        let returned = self.blind.cut && !cut;
-        let heard = |zone: &&Zone| reach.get(*zone).is_some_and(|reach| reach.heard > 0);
-        let back: BTreeSet<Zone> = self.blind.zones.iter().filter(heard).cloned().collect();
+    /// When a partition between regions heals after ten minutes, the first heartbeat shows that the
+    /// zone is up. Instances whose heartbeats arrive some seconds later then look as if they alone
+    /// had been silent for ten minutes. Votes at that moment would remove most of a region that has
+    /// just returned, and its instances would all write to the platform to refute the removal.
+    /// Measuring the silence from the zone's return gives each instance the same time as one that
+    /// has stopped.
+    fn reset_after_partition(&mut self, now: Instant, reach: &BTreeMap<Zone, Reach>) {
+        let cut_off = self.cut_off(now);
+        let returned = self.isolation.cut_off && !cut_off;
+        let seen = |zone: &&Zone| reach.get(*zone).is_some_and(|reach| reach.seen > 0);
+        let back: BTreeSet<Zone> = self.isolation.zones.iter().filter(seen).cloned().collect();
         if returned || !back.is_empty() {
-            self.forgive(now, |zone| returned || back.contains(zone));
+            self.restart_silence(now, |zone| returned || back.contains(zone));
         }
-        let dark = reach.iter().filter(|(_, reach)| reach.heard == 0);
-        self.blind = Blind {
-            cut,
-            zones: dark.map(|(zone, _)| zone.clone()).collect(),
+        let unreachable = reach.iter().filter(|(_, reach)| reach.seen == 0);
+        self.isolation = Isolation {
+            cut_off,
+            zones: unreachable.map(|(zone, _)| zone.clone()).collect(),
         };
     }
 
-    /// Counts the silence of all instances of the zones that `of` names from now on.
-    fn forgive(&mut self, now: Instant, of: impl Fn(&Zone) -> bool) {
+    /// Restarts the silence timers of all instances in the zones that `matches` selects.
+    fn restart_silence(&mut self, now: Instant, matches: impl Fn(&Zone) -> bool) {
         let entries = self.entries.values_mut();
-        for entry in entries.filter(|entry| of(&entry.record.zone)) {
-            entry.sight.expected = entry.sight.expected.map(|_| now);
+        for entry in entries.filter(|entry| matches(&entry.record.zone)) {
+            entry.observation.expected_since = entry.observation.expected_since.map(|_| now);
         }
     }
 
-    /// Drops tombstones and votes that have had their time.
-    fn age(&mut self, now: Instant) {
+    /// Drops expired tombstones and votes.
+    fn expire(&mut self, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
         let (tombstone, vote) = (self.policy.tombstone_ttl, self.policy.vote_ttl);
         let me = &self.me;
@@ -150,12 +153,13 @@
         }
     }
 
-    /// Starts to expect heartbeats of new subjects, and stops for those of others now.
-    fn expect(&mut self, now: Instant) {
+    /// Starts to expect heartbeats from new subjects, and stops for instances that are no longer
+    /// subjects.
+    fn expect_subjects(&mut self, now: Instant) {
         for (name, entry) in &mut self.entries {
             let expected = self.subjects.names.contains(name);
-            let since = entry.sight.expected.unwrap_or(now);
-            entry.sight.expected = expected.then_some(since);
+            let since = entry.observation.expected_since.unwrap_or(now);
+            entry.observation.expected_since = expected.then_some(since);
         }
     }
 
@@ -164,33 +168,34 @@
         let span = self.policy.suspect_after;
         for entry in self.entries.values().filter(|entry| !entry.is_gone()) {
             let reach = zones.entry(entry.record.zone.clone()).or_default();
-            let heard = entry.sight.seen_within(now, span) || entry.record.instance == self.me;
-            reach.heard += usize::from(heard);
-            reach.silent += usize::from(!heard && entry.sight.silent_for(now, span));
+            let seen = entry.observation.seen_within(now, span) || entry.record.instance == self.me;
+            reach.seen += usize::from(seen);
+            reach.silent += usize::from(!seen && entry.observation.silent_for(now, span));
         }
         zones
     }
 
-    /// Marks suspects: those that are silent, and all of a zone that is parted from this one.
-    fn mark(&mut self, now: Instant, reach: &BTreeMap<Zone, Reach>) {
-        let parted = parted(reach);
-        let flips = |entry: &&Entry| {
-            let cut = !entry.is_gone() && parted.contains(&entry.record.zone);
-            let suspect = cut || self.seems_silent(now, entry);
-            suspect != entry.sight.suspect
+    /// Marks suspects: silent instances, and all instances of a zone that is partitioned from this
+    /// one.
+    fn mark_suspects(&mut self, now: Instant, reach: &BTreeMap<Zone, Reach>) {
+        let zones = partitioned_zones(reach);
+        let differs = |entry: &&Entry| {
+            let partitioned = !entry.is_gone() && zones.contains(&entry.record.zone);
+            let suspect = partitioned || self.seems_silent(now, entry);
+            suspect != entry.observation.suspect
         };
-        let flipped = self.entries.values().filter(flips);
-        let names: Vec<Instance> = flipped.map(|entry| entry.record.instance.clone()).collect();
+        let changed = self.entries.values().filter(differs);
+        let names: Vec<Instance> = changed.map(|entry| entry.record.instance.clone()).collect();
         for name in names {
-            self.flip(&name);
+            self.toggle_suspect(&name);
         }
     }
 
-    /// Works out again whether one instance is suspect.
-    pub(crate) fn refresh(&mut self, now: Instant, instance: &Instance) {
+    /// Recomputes whether one instance is suspect.
+    pub(crate) fn refresh_suspect(&mut self, now: Instant, instance: &Instance) {
         let entry = self.entries.get(instance);
-        if entry.is_some_and(|entry| self.seems_silent(now, entry) != entry.sight.suspect) {
-            self.flip(instance);
+        if entry.is_some_and(|entry| self.seems_silent(now, entry) != entry.observation.suspect) {
+            self.toggle_suspect(instance);
         }
     }
 
@@ -198,24 +203,26 @@
         if entry.is_gone() || entry.record.instance == self.me {
             return false;
         }
-        if entry.sight.link_lost.is_some() {
+        if entry.observation.link_lost.is_some() {
             return true;
         }
-        // What we hear ourselves outweighs what others say.
-        let heard = entry.sight.seen_within(now, self.policy.suspect_after);
-        let silent = entry.sight.silent_for(now, self.policy.suspect_after);
-        !heard && (silent || !entry.votes.is_empty())
+        // What this daemon receives itself outweighs the votes of others.
+        let seen = entry
+            .observation
+            .seen_within(now, self.policy.suspect_after);
+        let silent = entry.observation.silent_for(now, self.policy.suspect_after);
+        !seen && (silent || !entry.votes.is_empty())
     }
 
-    fn flip(&mut self, instance: &Instance) {
+    fn toggle_suspect(&mut self, instance: &Instance) {
         if let Some(entry) = self.entries.get_mut(instance) {
-            entry.sight.suspect = !entry.sight.suspect;
+            entry.observation.suspect = !entry.observation.suspect;
             let service = entry.record.service.clone();
             self.note_change(service);
         }
     }
 
-    fn vote(&mut self, now: Instant, reach: &BTreeMap<Zone, Reach>) -> Review {
+    fn cast_votes(&mut self, now: Instant, reach: &BTreeMap<Zone, Reach>) -> Review {
         let mut review = Review::default();
         if self.cut_off(now) {
             return review;
@@ -233,7 +240,7 @@
         review
     }
 
-    /// The vote that is due on one subject, if any: cast, repeated, or withdrawn.
+    /// The vote that is due on one subject, if any: a new one, a repetition or a withdrawal.
     fn own_vote(
         &mut self,
         now: Instant,
@@ -241,15 +248,15 @@
         reach: &BTreeMap<Zone, Reach>,
     ) -> Option<Vote> {
         let repeat = self.policy.vote_ttl / 3;
-        let patience = self.patience(about, reach);
+        let limit = self.silence_limit(about, reach);
         let entry = self.entries.get_mut(about)?;
-        let voted = entry.sight.voted;
-        let silent = entry.sight.silence(now)? >= patience;
+        let voted = entry.observation.voted_at;
+        let silent = entry.observation.silence(now)? >= limit;
         let recent = voted.is_some_and(|at| now.saturating_duration_since(at) < repeat);
         if recent && silent || voted.is_none() && !silent {
             return None;
         }
-        entry.sight.voted = silent.then_some(now);
+        entry.observation.voted_at = silent.then_some(now);
         let verdict = if silent {
             Verdict::Silent
         } else {
@@ -265,30 +272,35 @@
 
     /// How long an instance may be silent before this daemon votes against it.
     ///
-    /// While others of its zone are heard, the instance alone is at fault. If none is, the way
-    /// to the zone may be: regions part for minutes, so we wait much longer.
-    fn patience(&self, about: &Instance, reach: &BTreeMap<Zone, Reach>) -> Duration {
+    /// While something is received from other instances of the zone, only the instance itself can
+    /// have failed. Otherwise the network path to the zone may have failed. Partitions between
+    /// regions last minutes, so the limit is then much longer.
+    fn silence_limit(&self, about: &Instance, reach: &BTreeMap<Zone, Reach>) -> Duration {
         let zone = self.get(about).map(|record| &record.zone);
-        let heard = zone
+        let seen = zone
             .and_then(|zone| reach.get(zone))
-            .map(|reach| reach.heard);
-        match heard {
+            .map(|reach| reach.seen);
+        match seen {
             Some(0) | None => self.policy.remove_zone_after,
             Some(_) => self.policy.remove_after,
         }
     }
 }
 
-/// The zones that are parted from this one: something in them is silent and nothing is heard.
+/// The zones that are partitioned from this one: nothing is received from them and some instance
+/// there is silent.
 ///
-/// A daemon observes one instance of a zone or so, and a single one may just have stopped. So we
-/// ask for a second sign: another silent instance there, or another zone in the same case.
-fn parted(reach: &BTreeMap<Zone, Reach>) -> BTreeSet<&Zone> {
-    let is_dark = |reach: &Reach| reach.heard == 0 && reach.silent > 0;
-    let dark: Vec<_> = reach.iter().filter(|(_, reach)| is_dark(reach)).collect();
-    let several = dark.len() >= PARTED;
-    let parted = dark
+/// A daemon may observe as little as one instance of a zone, and that one may just have stopped. So
+/// a second sign is required: another silent instance in that zone, or another unreachable zone.
+fn partitioned_zones(reach: &BTreeMap<Zone, Reach>) -> BTreeSet<&Zone> {
+    let is_unreachable = |reach: &Reach| reach.seen == 0 && reach.silent > 0;
+    let unreachable: Vec<_> = reach
+        .iter()
+        .filter(|(_, reach)| is_unreachable(reach))
+        .collect();
+    let several = unreachable.len() >= MIN_PARTITION_SIGNS;
+    let partitioned = unreachable
         .into_iter()
-        .filter(|(_, reach)| several || reach.silent >= PARTED);
-    parted.map(|(zone, _)| zone).collect()
+        .filter(|(_, reach)| several || reach.silent >= MIN_PARTITION_SIGNS);
+    partitioned.map(|(zone, _)| zone).collect()
 }
--- a/crates/roster/src/roster.rs
+++ b/crates/roster/src/roster.rs
@@ -1,4 +1,4 @@
-//! The records that a daemon holds, and how new ones come in.
+//! The records that a daemon holds, and the merging of new ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,18 +7,18 @@
 use tokio::time::Instant;
 use unit::{Fingerprint, Instance, Service, Version, Zone};
 
-use crate::ask::Asking;
+use crate::ask::Fallback;
 use crate::entry::Entry;
 use crate::listing::Allowance;
 use crate::observer::Subjects;
 use crate::own::Own;
 use crate::policy::Policy;
 use crate::record::{Merge, Record, State};
-use crate::review::Blind;
+use crate::review::Isolation;
 use crate::summary::Summary;
 use crate::target::Target;
 
-/// All that one daemon knows of the instances; see the [crate's page](crate).
+/// All that one daemon knows about the instances; see the [crate's documentation](crate).
 #[derive(Debug)]
 pub struct Roster {
     pub(crate) me: Instance,
@@ -27,24 +27,24 @@
     pub(crate) summary: Summary,
     pub(crate) own: Own,
     pub(crate) subjects: Subjects,
-    pub(crate) asking: Asking,
+    pub(crate) fallback: Fallback,
     pub(crate) allowance: Allowance,
-    pub(crate) reviewed: Instant,
-    pub(crate) blind: Blind,
+    pub(crate) last_review: Instant,
+    pub(crate) isolation: Isolation,
     pub(crate) rng: Pcg64Mcg,
-    /// Counts changes that a reader of targets can notice.
+    /// Counts changes that a reader of records or targets can notice.
     version: u64,
-    /// Counts changes to who exists where, on which the ranks depend.
-    members: u64,
-    /// Services whose targets have changed since these were last taken.
+    /// Counts changes of which instances exist and in which zones; the ranks depend on it.
+    membership: u64,
+    /// Services whose targets have changed since the last [`Roster::take_changed_services`].
     changed_services: BTreeSet<Service>,
 }
 
 impl Roster {
-    /// A roster that knows only its own instance, as `own` announces it.
+    /// Returns a roster that knows only its own instance, as `own` announces it.
     ///
-    /// The incarnation must be above that of any earlier life under the same name: the wall
-    /// clock's milliseconds at start serve well, and need no call to the platform.
+    /// The incarnation must be above that of any earlier process of the same name. The wall clock's
+    /// milliseconds at the start serve well, and need no call to the platform.
     pub fn new(now: Instant, own: Record, policy: Policy, seed: u64) -> Roster {
         let mut roster = Roster {
             me: own.instance.clone(),
@@ -52,55 +52,56 @@
             summary: Summary::default(),
             own: Own::new(now, own.clone()),
             subjects: Subjects::default(),
-            asking: Asking::new(now),
+            fallback: Fallback::new(now),
             allowance: Allowance::new(now, policy.max_listing_removals),
-            reviewed: now,
-            blind: Blind::default(),
+            last_review: now,
+            isolation: Isolation::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             version: 0,
-            members: 1,
+            membership: 1,
             changed_services: BTreeSet::new(),
             policy,
         };
-        roster.place(now, own);
+        roster.upsert(now, own);
         roster
     }
 
-    /// Takes a record in, from whatever source, if it is newer than what is held.
+    /// Merges a record from any source if it is newer than the one held.
     ///
-    /// A record about this daemon's own instance that it did not make is answered by a higher
-    /// incarnation; see [`Roster::take_announcement`].
+    /// A record about this daemon's own instance that the daemon did not make is answered with a
+    /// higher incarnation; see [`Roster::take_announcement`].
     pub fn merge(&mut self, now: Instant, record: Record) -> Merge {
         if record.instance == self.me {
             return self.merge_own(now, record);
         }
-        self.place(now, record)
+        self.upsert(now, record)
     }
 
-    /// The record of an instance, also if it has gone but is still remembered.
+    /// The record of an instance, also if the instance is gone and its record has not expired.
     pub fn get(&self, instance: &Instance) -> Option<&Record> {
         self.entries.get(instance).map(|entry| &entry.record)
     }
 
-    /// The instances of a service that take new work, by name, suspects marked.
+    /// The live instances of a service, ordered by name, with suspects marked.
     pub fn live(&self, service: &Service) -> Vec<Target> {
         let entries = self.entries.values();
         let live = entries.filter(|entry| entry.is_live() && entry.record.service == *service);
-        live.map(|entry| Target::of(&entry.record, entry.sight.suspect))
+        live.map(|entry| Target::of(&entry.record, entry.observation.suspect))
             .collect()
     }
 
-    /// All other instances that have not gone: those that links may be opened to and taken from.
+    /// All other instances that are not gone: links may be opened to and accepted from these.
     pub fn peers(&self) -> impl Iterator<Item = &Record> {
         let others = self.records().filter(|record| record.instance != self.me);
         others.filter(|record| record.state != State::Gone)
     }
 
-    /// Who shows `fingerprint` on a link, also if it is held for gone.
+    /// The record of the instance whose certificate has `fingerprint`, also if that instance is
+    /// gone.
     ///
-    /// A link of a gone instance must be accepted for heartbeats and records: a live instance
-    /// that was removed by mistake learns of it, and refutes it, only if somebody talks to it.
-    /// Work is taken from and sent to [`peers`](Roster::peers) only.
+    /// A link from a gone instance must be accepted for heartbeats and records: a live instance
+    /// that was removed by mistake learns of it, and refutes it, only if other daemons communicate
+    /// with it. Work is accepted from and sent to [`peers`](Roster::peers) only.
     pub fn by_fingerprint(&self, fingerprint: &Fingerprint) -> Option<&Record> {
         self.records()
             .find(|record| record.fingerprint == *fingerprint)
@@ -116,33 +117,33 @@
         &self.me
     }
 
-    /// This daemon's zone.
+    /// The availability zone of this daemon's instance.
     pub fn zone(&self) -> &Zone {
         &self.own.record().zone
     }
 
-    /// The settings.
+    /// The settings of this roster.
     pub fn policy(&self) -> &Policy {
         &self.policy
     }
 
-    /// Rises whenever a reader of records or targets could notice a change.
+    /// A counter that rises whenever a reader of records or targets could notice a change.
     pub fn version(&self) -> Version {
         Version::of(self.version)
     }
 
-    /// Rises whenever who exists where has changed.
-    pub(crate) fn members(&self) -> u64 {
-        self.members
+    /// A counter that rises whenever an instance appears, moves to another zone or is gone.
+    pub(crate) fn membership(&self) -> u64 {
+        self.membership
     }
 
-    /// The services whose targets have changed since the last call.
+    /// Returns the services whose targets have changed since the last call.
     pub fn take_changed_services(&mut self) -> BTreeSet<Service> {
         std::mem::take(&mut self.changed_services)
     }
 
-    /// Puts a record in place if it is newer, and keeps digests and counters true.
-    pub(crate) fn place(&mut self, now: Instant, record: Record) -> Merge {
+    /// Stores a record if it is newer, and updates the digests and counters.
+    pub(crate) fn upsert(&mut self, now: Instant, record: Record) -> Merge {
         let Some(entry) = self.entries.get_mut(&record.instance) else {
             return self.insert(now, record);
         };
@@ -152,11 +153,11 @@
         let before = entry.record.service.clone();
         let after = record.service.clone();
         let moved = entry.record.zone != record.zone || entry.is_gone();
-        let dies = record.state == State::Gone;
+        let stopped = record.state == State::Gone;
         self.summary.remove(&entry.record, entry.digest);
         entry.replace(now, record);
         self.summary.add(&entry.record, entry.digest);
-        self.members += u64::from(moved || dies);
+        self.membership += u64::from(moved || stopped);
         self.note_change(before);
         self.note_change(after);
         Merge::Changed
@@ -166,13 +167,13 @@
         let entry = Entry::new(now, record);
         self.summary.add(&entry.record, entry.digest);
         let service = entry.record.service.clone();
-        self.members += 1;
+        self.membership += 1;
         self.entries.insert(entry.record.instance.clone(), entry);
         self.note_change(service);
         Merge::New
     }
 
-    /// Notes that a reader of `service` could see a change.
+    /// Records that a reader of `service` could notice a change.
     pub(crate) fn note_change(&mut self, service: Service) {
         self.version += 1;
         self.changed_services.insert(service);
