--- a/crates/roster/examples/size.rs
+++ b/crates/roster/examples/size.rs
@@ -12,7 +12,7 @@
 const SIZES: [usize; 3] = [100, 450, 1_800];
 const ZONES: usize = 8;
 const SERVICES: usize = 48;
-/// Rosters held at once, so that the kernel's pages don't blur the memory of one.
+/// Rosters held at once, so that rounding to whole memory pages doesn't distort the size of one.
 const COPIES: usize = 40;
 const ROUNDS: usize = 20;
 
@@ -21,14 +21,16 @@
     let mut fingerprint = [0; 32];
     fingerprint[..16].copy_from_slice(&unit::Digest::of(name.as_bytes()).0.to_le_bytes());
     Record {
-        instance: name.parse().expect("a name"),
+        instance: name.parse().expect("valid name"),
         incarnation: Incarnation(1_790_000_000_000 + number as u64),
         state: State::Live,
-        zone: format!("zone-{}", number % ZONES).parse().expect("a zone"),
+        zone: format!("zone-{}", number % ZONES)
+            .parse()
+            .expect("valid zone"),
         region: format!("region-{}", number % ZONES / 3),
         service: format!("service-{}", number % SERVICES)
             .parse()
-            .expect("a service"),
+            .expect("valid service"),
         link: ([10, 0, (number / 250) as u8, (number % 250) as u8], 7_000).into(),
         fingerprint: Fingerprint(fingerprint),
     }
@@ -43,7 +45,7 @@
     roster
 }
 
-/// Resident bytes of this process, by Linux's account in pages of 4,096.
+/// Resident bytes of this process, from Linux's count of pages of 4,096 bytes.
 fn resident() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
@@ -75,7 +77,7 @@
         .map(|_| Shared::new(roster(now, &records)))
         .collect();
     let after = resident();
-    // Kept for good: pages that were freed would serve the next size, and hide its memory.
+    // Leaked on purpose: freed pages would be reused for the next size and hide its memory.
     std::mem::forget(rosters);
     after.saturating_sub(before) / COPIES
 }
@@ -95,13 +97,13 @@
             held.merge(now, record.clone());
         }
     });
-    let quiet = time(|| held.review(now));
-    let mut life = 1_800_000_000_000;
+    let unchanged = time(|| held.review(now));
+    let mut incarnation = 1_800_000_000_000;
     let member = time(|| {
-        life += 1;
+        incarnation += 1;
         let mut next = records[size - 1].clone();
-        next.incarnation = Incarnation(life);
-        next.state = if life % 2 == 0 {
+        next.incarnation = Incarnation(incarnation);
+        next.state = if incarnation % 2 == 0 {
             State::Live
         } else {
             State::Gone
@@ -110,8 +112,8 @@
         held.review(now)
     });
     let relay = time(|| held.relay_children(7, &records[0].instance));
-    let listing = time(|| held.apply_listing(now, &records, Version::of(life)));
-    let core = time(|| held.live(&records[0].service));
+    let listing = time(|| held.apply_listing(now, &records, Version::of(incarnation)));
+    let scan = time(|| held.live(&records[0].service));
     let shared = Shared::new(held);
     let view = time(|| {
         for _ in 0..1_000 {
@@ -124,12 +126,12 @@
         }
     });
     println!(
-        "{size:5} instances: merge new {:?}, old {:?}; review {quiet:?}, after a change {member:?}",
+        "{size:5} instances: merge new {:?}, old {:?}; review {unchanged:?}, after a change {member:?}",
         fresh / size as u32,
         old / size as u32,
     );
     println!(
-        "      relay {relay:?}; listing {listing:?}; live by scan {core:?}, by snapshot {:?}; heard {:?}",
+        "      relay {relay:?}; listing {listing:?}; live by scan {scan:?}, by snapshot {:?}; heard {:?}",
         view / 1_000,
         heard / 1_000,
     );
@@ -168,15 +170,15 @@
         dump.subjects.len(),
     );
     println!(
-        "      beat payload {beat} bytes; {} out, {} in a period: {:.0} bytes/s",
+        "      heartbeat payload {beat} bytes; {} out, {} in a period: {:.0} bytes/s",
         dump.beats.len(),
         dump.subjects.len(),
         cost.bytes.per_second(),
     );
 }
 
-/// The largest number of instances that any daemon of the fleet observes.
-fn observed(size: usize) {
+/// The largest number of instances that any daemon observes.
+fn max_observed(size: usize) {
     let records: Vec<Record> = (0..size).map(record).collect();
     let roster = roster(Instant::now(), &records);
     let mut counts = std::collections::BTreeMap::new();
@@ -188,12 +190,13 @@
     let most = counts.values().max().copied().unwrap_or(0);
     let cost = heartbeat::cost(Policy::default().heartbeat_interval(), 11, most);
     println!(
-        "{size:5} instances: the busiest observes {most}: {:.0} bytes/s of heartbeats",
+        "{size:5} instances: the busiest daemon observes {most}: {:.0} bytes/s of heartbeats",
         cost.bytes.per_second()
     );
 }
 
-/// How many of a zone a message misses if half of its daemons don't know that one has gone.
+/// Prints how many instances of a zone a message misses if half of the daemons don't know that one
+/// has gone.
 fn differing() {
     let records: Vec<Record> = (0..1_800).step_by(ZONES).map(record).collect();
     let now = Instant::now();
@@ -224,7 +227,7 @@
 }
 
 fn main() {
-    // Memory comes first, before other work leaves freed pages behind.
+    // Memory is measured first, before other work leaves freed pages behind.
     for size in SIZES {
         let bytes = memory(size);
         println!(
@@ -234,6 +237,6 @@
     }
     SIZES.into_iter().for_each(bytes);
     SIZES.into_iter().for_each(times);
-    SIZES.into_iter().for_each(observed);
+    SIZES.into_iter().for_each(max_observed);
     differing();
 }
--- a/crates/roster/tests/it/fan.rs
+++ b/crates/roster/tests/it/fan.rs
@@ -1,4 +1,4 @@
-//! Watchers, fan-out and heartbeats at the design size.
+//! Watchers, fan-out and heartbeats at the design size of 1,800 instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,7 +17,8 @@
     (all, roster)
 }
 
-/// How many of the zone's 225 a message reaches from its watchers, with `missing` not sending.
+/// Returns how many of the zone's 225 a message reaches from its watchers if `missing` relay
+/// nothing.
 fn reached(roster: &Roster, all: &[Record], seeds: &[u64], missing: &BTreeSet<Instance>) -> usize {
     let mut known: BTreeSet<Instance> = BTreeSet::new();
     for seed in seeds {
@@ -36,7 +37,7 @@
     known.len()
 }
 
-/// Each of 225 instances gets a message once, and none sends more than eight.
+/// Each of 225 instances receives a message once, and none sends more than eight.
 #[test]
 fn the_tree_reaches_all() {
     let (all, roster) = zone();
@@ -51,8 +52,9 @@
     assert_eq!(reached(&roster, &all, &[7], &BTreeSet::new()), 225);
 }
 
-/// A tenth of the zone has stopped and nobody has noticed yet. Those below a stopped instance
-/// get no message, and learn of it by the next heartbeat; a second tree leaves far fewer of them.
+/// A tenth of the zone has stopped and no daemon has detected it. Instances below a stopped one in
+/// the tree miss the message until the next heartbeat; a second tree leaves far fewer of them
+/// unreached.
 #[test]
 fn a_tenth_missing_leaves_few_unreached() {
     let (all, roster) = zone();
@@ -77,8 +79,8 @@
     assert!(unreached[1] * 3 < unreached[0], "{unreached:?}");
 }
 
-/// Were the watchers to change with every restart, each change would cost calls to the platform.
-/// An instance that is none changes nothing when it goes; one that is is replaced alone.
+/// Guards against changes of watchers, each of which costs calls to the platform. If an instance
+/// that is no watcher stops, the watchers stay; if a watcher stops, only it is replaced.
 #[test]
 fn watchers_are_stable() {
     let (all, full) = zone();
@@ -106,8 +108,8 @@
     }
 }
 
-/// At 1,800 instances in 8 zones each beats to 11 observers, and no daemon hears so many that
-/// heartbeats take more than a third of its 9 KB/s.
+/// With 1,800 instances in 8 zones each sends heartbeats to 11 observers, and no daemon receives so
+/// many that heartbeats take more than a third of its 9 KB/s.
 #[test]
 fn heartbeats_stay_within_the_allowance() {
     let all = records(&["a1", "a2", "a3", "b1", "b2", "b3", "c1", "c2"], 225);
--- a/crates/roster/tests/it/join.rs
+++ b/crates/roster/tests/it/join.rs
@@ -1,4 +1,4 @@
-//! The merge rule and what rests on it.
+//! The merge rule, and what depends on it.
 
 use proptest::prelude::*;
 use roster::{BUCKETS, Merge, Policy, Record, Roster, State};
@@ -36,30 +36,30 @@
 
     #[test]
     fn rosters_agree_whatever_the_order(
-        told in proptest::collection::vec(any_record(), 0..40),
+        received in proptest::collection::vec(any_record(), 0..40),
         twice in 0..40usize,
     ) {
         let now = Instant::now();
         let own = record("sorel", 0);
         let mut first = Roster::new(now, own.clone(), Policy::default(), 1);
         let mut second = Roster::new(now, own, Policy::default(), 2);
-        for record in &told {
+        for record in &received {
             first.merge(now, record.clone());
         }
-        for record in told.iter().rev().chain(told.iter().take(twice)) {
+        for record in received.iter().rev().chain(received.iter().take(twice)) {
             second.merge(now, record.clone());
         }
         prop_assert_eq!(first.summary(), second.summary());
-        for record in &told {
+        for record in &received {
             prop_assert_eq!(first.get(&record.instance), second.get(&record.instance));
         }
     }
 }
 
-/// An instance has stopped. Minutes later a daemon that was paused relays its old announcement.
-/// A caller would be sent to a target that isn't there. The record of its end outranks the relay.
+/// Guards against a stopped instance becoming a target again. Minutes after it stopped, a daemon
+/// that was paused relays its old announcement; the record of its end supersedes that.
 #[test]
-fn an_old_relay_brings_nobody_back() {
+fn an_old_relay_does_not_revive_a_gone_instance() {
     let mut now = Instant::now();
     let other = record("levis", 1);
     let mut roster = roster(now, &record("levis", 0), std::slice::from_ref(&other));
@@ -82,10 +82,10 @@
     assert_eq!(roster.peers().count(), 1);
 }
 
-/// Tombstones must not pile up: they are dropped after six hours, also where a neighbour still
-/// has one, and no exchange hands them round for ever.
+/// Guards against an unlimited number of tombstones. They are dropped after six hours, also where a
+/// neighbour still has one, and an exchange doesn't bring them back.
 #[test]
-fn tombstones_age_out() {
+fn tombstones_expire() {
     let mut now = Instant::now();
     let other = record("levis", 1);
     let mut early = roster(now, &record("levis", 0), &[]);
@@ -111,8 +111,8 @@
     assert_eq!(late.get(&other.instance), None);
 }
 
-/// One of 1,800 records differs between two daemons. Sending all would cost 200 KB each time;
-/// only the bucket that differs travels, and back comes only the record that was lacking.
+/// One of 1,800 records differs between two daemons. Sending all records would cost 200 KB each
+/// time; only the differing bucket is sent, and the reply holds only the missing record.
 #[test]
 fn only_what_differs_is_exchanged() {
     let now = Instant::now();
--- a/crates/roster/tests/it/listing.rs
+++ b/crates/roster/tests/it/listing.rs
@@ -1,4 +1,4 @@
-//! What the platform's listing may and may not remove.
+//! Which instances a listing of the platform may remove.
 
 use roster::{Record, Roster, State};
 use tokio::time::Instant;
@@ -8,7 +8,8 @@
 
 const ZONES: [&str; 2] = ["sorel", "levis"];
 
-/// A roster that has seen all 200 of two zones listed, and hears those of its own zone.
+/// Returns a roster for which all 200 instances of two zones were listed, and that has received
+/// something from those of its own zone.
 fn listed(now: Instant) -> (Roster, Vec<Record>) {
     let all = records(&ZONES, 100);
     let mut roster = roster(now, &all[0], &all);
@@ -19,11 +20,11 @@
     (roster, all)
 }
 
-/// The platform has lost its data and lists nothing, or three of 200. If its word were taken,
-/// callers would be left without targets though all of them work. Nobody is removed, and the
-/// objects of those who are heard are named for writing again.
+/// Guards against a platform that has lost its data and lists none or three of 200 instances.
+/// Removing the others would leave callers without targets although all of them work. No instance
+/// is removed, and the objects of recently seen instances are returned for writing again.
 #[test]
-fn a_listing_that_lost_data_removes_nobody() {
+fn a_listing_that_lost_data_removes_no_instance() {
     for left in [0, 3] {
         let now = Instant::now() + SECOND;
         let (mut roster, all) = listed(now);
@@ -36,11 +37,11 @@
     }
 }
 
-/// The platform was restored from an older copy: its revision goes back, and newer objects are
-/// missing. They are held against nobody, then or for a minute after it, also once the revision
-/// has passed the former one; those who are heard get their objects back.
+/// Guards against a platform restored from an older copy: its revision goes backwards, and newer
+/// objects are missing. Missing objects remove no instance then or for a minute after, also once
+/// the revision has passed the former one. Recently seen instances get their objects back.
 #[test]
-fn a_restored_platform_removes_nobody() {
+fn a_restored_platform_removes_no_instance() {
     let now = Instant::now();
     let (mut roster, all) = listed(now);
     let older = [&all[5..150], &all[155..]].concat();
@@ -52,10 +53,10 @@
     assert_eq!(roster.live(&all[0].service).len(), 200);
 }
 
-/// An operator deletes the object of an instance that nobody hears: it is removed. One that is
-/// heard is kept; it works, whatever the platform says.
+/// An operator deletes the object of an instance from which this daemon has received nothing: it
+/// is removed. A recently seen instance is kept, since it works whatever the platform lists.
 #[test]
-fn a_few_deleted_objects_remove_the_silent() {
+fn deleted_objects_remove_a_few_silent_instances() {
     let now = Instant::now();
     let (mut roster, all) = listed(now);
     let deleted = roster.apply_deleted(now, &all[150].instance, Version::of(101));
@@ -76,10 +77,10 @@
     assert_eq!(removed, 16);
 }
 
-/// An instance is replaced under its name. The newcomer is known by relay before a watcher is
-/// told that the former object was deleted. That deletion must not remove the newcomer.
+/// Guards against a late deletion removing a new instance. An instance is replaced under its name,
+/// and the new one is known by relay before a watcher receives the deletion of the former object.
 #[test]
-fn a_late_deletion_spares_the_next_life() {
+fn a_late_deletion_keeps_the_next_incarnation() {
     let now = Instant::now();
     let (mut roster, all) = listed(now);
     let next = Record {
@@ -118,10 +119,10 @@
     );
 }
 
-/// An instance was removed by its observers, and its object is still there. A watcher of its
-/// zone is told to delete it; else each newcomer would take the dead instance for a target.
+/// An instance was removed by its observers, and its object still exists. A watcher of its zone is
+/// to delete it; otherwise each new instance would take the stopped one for a target.
 #[test]
-fn the_object_of_a_removed_instance_is_swept() {
+fn the_object_of_a_removed_instance_is_deleted() {
     let now = Instant::now();
     let (mut roster, all) = listed(now);
     for number in [50, 150] {
--- a/crates/roster/tests/it/main.rs
+++ b/crates/roster/tests/it/main.rs
@@ -1,8 +1,8 @@
-//! What a roster holds to when instances, links, zones and the platform fail.
+//! Tests of the roster under failures of instances, links, zones and the platform.
 
 mod fan;
 mod join;
 mod listing;
-mod parted;
+mod partition;
 mod removal;
 mod world;
--- a/crates/roster/tests/it/parted.rs
+++ b/crates/roster/tests/it/partition.rs
@@ -1,4 +1,4 @@
-//! Zones and regions that part, and come back.
+//! Network partitions between zones and regions, and their end.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 
 const ZONES: [&str; 8] = ["a1", "a2", "a3", "b1", "b2", "b3", "c1", "c2"];
 
-/// The side of a partition that an instance is on, by the start of its name.
-fn inside(side: &'static str) -> impl Fn(&Instance, &Instance) -> bool {
+/// Whether two instances are on the same side of a partition, by the start of their names.
+fn same_side(side: &'static str) -> impl Fn(&Instance, &Instance) -> bool {
     move |from, to| from.as_str().starts_with(side) == to.as_str().starts_with(side)
 }
 
-fn part(side: &'static str, each: u16, seconds: u64) -> World {
+fn partition(side: &'static str, each: u16, seconds: u64) -> World {
     let mut world = World::new(&records(&ZONES, each));
     world.run(30, &|_, _| true);
-    world.run(seconds, &inside(side));
+    world.run(seconds, &same_side(side));
     world
 }
 
-fn whole(world: &World) -> bool {
+fn all_live(world: &World) -> bool {
     let all = world.rosters.len();
     world
         .rosters
@@ -32,12 +32,13 @@
 }
 
 /// A zone, and then a region, is cut off for ten minutes. Its callers are served by its own
-/// targets, which stay live and unsuspected; those beyond the cut are suspect and not removed.
-/// When the way is back all are trusted again within seconds, and the platform is never called.
+/// targets, which stay live and not suspect; targets beyond the partition are suspect and not
+/// removed. When the network is restored no target is suspect after 30 s, and the platform is never
+/// called.
 #[test]
-fn a_side_cut_off_serves_itself_and_comes_back_without_the_platform() {
+fn a_partitioned_side_serves_itself_and_recovers_without_the_platform() {
     for (side, zones) in [("a1", 1), ("b", 3)] {
-        let mut world = part(side, 5, 600);
+        let mut world = partition(side, 5, 600);
         let name = if side == "b" { "b1-0" } else { "a1-0" };
         let now = world.now;
         let dump = world.roster(name).dump(now);
@@ -46,8 +47,8 @@
         assert!(observed.len() > zones + 1, "{side}: {observed:?}");
         for line in &dump.instances {
             let beyond = !line.instance.as_str().starts_with(side);
-            let dark = beyond && observed.contains(&zone(&line.instance));
-            assert_eq!(line.suspect, dark, "{side}: {}", line.instance);
+            let unreachable = beyond && observed.contains(&zone(&line.instance));
+            assert_eq!(line.suspect, unreachable, "{side}: {}", line.instance);
         }
         assert!(
             world
@@ -56,32 +57,33 @@
                 .all(|name| world.counts(name.as_str()).0 == 40)
         );
         world.run(30, &|_, _| true);
-        assert!(whole(&world), "{side}");
+        assert!(all_live(&world), "{side}");
         assert_eq!((world.writes, world.reads), (0, 0), "{side}");
     }
 }
 
-/// A region is away for more than an hour. The other five zones may remove its instances; it must
-/// not remove theirs, being the smaller side. On return each removed instance refutes by one
-/// write, spread over half a minute, and every caller has all targets again.
+/// A region is cut off for more than an hour. The other five zones may remove its instances; it
+/// must not remove theirs, being the smaller side. Afterwards each removed instance refutes its
+/// removal by one write, spread over 30 s, and every caller has all targets again.
 #[test]
 fn the_smaller_side_never_removes_the_larger() {
-    let mut world = part("b", 4, 3_900);
+    let mut world = partition("b", 4, 3_900);
     assert_eq!(world.counts("b2-1").0, 32);
     let removed = 32 - world.counts("c1-2").0;
     println!("removed after an hour: {removed} of 12");
     assert!(removed > 0);
     world.run(90, &|_, _| true);
-    assert!(whole(&world));
+    assert!(all_live(&world));
     assert_eq!(world.writes, removed);
     assert_eq!(world.reads, 0);
 }
 
-/// All watchers of a zone of 225 stop, and no heartbeat gets through: nobody hears any news. If
-/// all asked the platform at once they would take its reads from the rest. Neighbours are asked
-/// first, and the platform about five times a second by the whole zone.
+/// Guards against overloading the platform. All watchers of a zone of 225 stop and no heartbeat
+/// arrives, so no daemon receives updates. If all called the platform at once they would take its
+/// reads from others. Neighbours are asked first, and the whole zone calls the platform about five
+/// times a second.
 #[test]
-fn a_zone_without_news_asks_the_platform_in_turn() {
+fn a_zone_without_updates_staggers_its_platform_calls() {
     let now = Instant::now();
     let all = records(&["levis"], 225);
     let mut rosters: Vec<Roster> = all[..225]
@@ -104,13 +106,13 @@
     assert_eq!(peers, 3 * 225);
     assert!((400..=1_500).contains(&total), "{total}");
     assert!(most <= 16, "{most}");
-    let heard = &mut rosters[0];
-    heard.update_received(now + SECOND * 300);
-    assert_eq!(heard.fallback(now + Duration::from_secs(304)), None);
+    let updated = &mut rosters[0];
+    updated.update_received(now + SECOND * 300);
+    assert_eq!(updated.fallback(now + Duration::from_secs(304)), None);
 }
 
-/// An instance announces that it leaves while the platform is down. It gets no new work from
-/// anybody who is told, and its end is known without its object being deleted.
+/// An instance announces that it leaves while the platform is down. Daemons that receive this send
+/// it no new work, and its end is known without its object being deleted.
 #[test]
 fn leaving_needs_no_platform() {
     let mut world = World::new(&records(&ZONES[..4], 3));
--- a/crates/roster/tests/it/removal.rs
+++ b/crates/roster/tests/it/removal.rs
@@ -1,4 +1,4 @@
-//! Who is removed, who is not, and how a mistake heals.
+//! Removal by votes, and recovery from false removals.
 
 use roster::{Finding, Merge, Policy, Record, Roster, Shared, State, Verdict, Vote};
 use tokio::time::Instant;
@@ -17,11 +17,11 @@
     }
 }
 
-/// A daemon whose link to a target has failed votes against it again and again. Callers elsewhere
-/// must not lose the target: one observer makes it suspect, and never removes it, also where the
-/// instance has no other observer.
+/// Guards against removal by a single observer. A daemon whose link to a target has failed votes
+/// against it repeatedly; this makes the target suspect and never removes it, also where the
+/// instance has no other observer. Otherwise callers elsewhere would lose a working target.
 #[test]
-fn one_observer_removes_nobody() {
+fn one_observer_removes_no_instance() {
     for (zones, each) in [(4, 10), (1, 2), (2, 1), (3, 1)] {
         let mut now = Instant::now();
         let all = records(&ZONES[..zones], each);
@@ -41,8 +41,9 @@
     }
 }
 
-/// Three observers remove an instance if one is of its own zone. A stranger's vote, one about an
-/// earlier life, one withdrawn and one that is a minute old don't count.
+/// Three observers remove an instance if one is of its own zone. A vote doesn't count if it comes
+/// from an instance that is no observer, is about an earlier incarnation, was withdrawn, or is a
+/// minute old.
 #[test]
 fn a_quorum_of_observers_removes() {
     let now = Instant::now();
@@ -89,10 +90,11 @@
     assert!(matches!(last, Finding::Removed(gone) if gone.state == State::Gone));
 }
 
-/// Without a vote from its own zone, a zone may be cut off. Votes of one other zone, however many
-/// observers, must not remove its instances: a majority of the other zones is asked for.
+/// Guards against removing the instances of a zone that is only cut off. Without a vote from the
+/// instance's own zone, votes from one other zone, however many, don't suffice: a majority of the
+/// other zones is required.
 #[test]
-fn one_zone_removes_nobody_of_another() {
+fn one_zone_removes_no_instance_of_another() {
     let now = Instant::now();
     let all = records(&ZONES, 10);
     let about = &all[5];
@@ -100,13 +102,13 @@
     let abroad = all[10..].iter().map(|record| &record.instance);
     let mut counted =
         abroad.filter(|name| roster.count_vote(now, &silent(name, about)) == Finding::Counted);
-    // The first votes come from one zone; they are counted, and it takes another zone's.
+    // The first votes come from one zone. They are counted; removal needs a vote of another zone.
     let zones: Vec<String> = counted
         .by_ref()
         .map(|name| {
             name.as_str()
                 .rsplit_once('-')
-                .expect("a number")
+                .expect("name with a number")
                 .0
                 .to_string()
         })
@@ -121,8 +123,9 @@
     );
 }
 
-/// A target stops without a word. Callers avoid it within seconds; it is removed once several
-/// have missed it for a minute, everywhere, and the platform isn't asked.
+/// A target stops without announcing it. Callers avoid it within seconds, and once several
+/// observers have missed its heartbeats for a minute all daemons remove it, without calls to the
+/// platform.
 #[test]
 fn a_dead_instance_is_suspect_then_removed() {
     let mut world = World::new(&records(&ZONES, 6));
@@ -146,8 +149,8 @@
     assert_eq!((world.writes, world.reads), (0, 0));
 }
 
-/// A daemon's own network card fails: it hears nobody, for ten minutes. It must take itself to
-/// be cut off and vote against nobody; the others remove it, and it refutes that on its return.
+/// A daemon's own network fails, so it receives nothing for ten minutes. It must assume that it is
+/// cut off and cast no votes. The others remove it, and it refutes that when it returns.
 #[test]
 fn a_daemon_that_is_cut_off_abstains() {
     let mut world = World::new(&records(&ZONES, 6));
@@ -172,11 +175,11 @@
     assert!((1..=20).contains(&world.reads), "{}", world.reads);
 }
 
-/// A live instance is removed by mistake: callers pass it over. It hears of its removal and
-/// announces a higher incarnation, to the daemons at once and to the platform within 30 s, so
-/// that a whole region falsely removed doesn't write at the same moment.
+/// A live instance is removed by mistake, so callers avoid it. It learns of the removal and
+/// announces a higher incarnation, to the daemons at once and to the platform within 30 s, so that
+/// a whole region that was falsely removed doesn't write at the same moment.
 #[test]
-fn a_false_removal_heals() {
+fn a_false_removal_is_refuted() {
     let now = Instant::now();
     let all = records(&ZONES, 3);
     let mut roster = roster(now, &all[0], &all);
@@ -200,9 +203,9 @@
     assert_eq!(roster.due_write(now + SECOND * 30), None);
 }
 
-/// A process is paused, its instance replaced under the same name, and then it wakes up. If it
-/// refuted the newcomer, the two would push each other out for ever. The one that has run for
-/// longer gives way and writes nothing; the newcomer wins even if its clock is behind.
+/// A process is paused, its instance is replaced under the same name, and the process resumes. If
+/// it refuted the new one, the two would displace each other for ever. The process that has run for
+/// longer gives way and writes nothing; the new one wins even if its clock is behind.
 #[test]
 fn a_replaced_process_gives_way() {
     let now = Instant::now();
@@ -233,10 +236,10 @@
     assert_eq!(paused.get(&next.instance), Some(&next));
 }
 
-/// The process is paused for two minutes. On waking up all heartbeats look late, though nobody
-/// else has failed: it must blame nobody for the time in which it didn't look.
+/// Guards against false votes after a pause. The process is paused for two minutes, so all
+/// heartbeats look late when it resumes although no other process has failed.
 #[test]
-fn a_pause_blames_nobody() {
+fn a_pause_casts_no_votes() {
     let mut world = World::new(&records(&ZONES, 6));
     world.run(30, &|_, _| true);
     let later = world.now + SECOND * 120;
@@ -245,8 +248,9 @@
     assert_eq!(world.counts("levis-3"), (24, 0));
 }
 
-/// Threads read targets from a snapshot. A link lost marks a target there; a later sign of life,
-/// noted without the roster's lock, clears it; a leaving instance is no target at once.
+/// Threads read targets from a snapshot. A lost link marks a target as suspect there, a later
+/// sighting, recorded without the roster's lock, clears it, and a leaving instance stops being a
+/// target at once.
 #[test]
 fn a_snapshot_follows_the_roster() {
     let now = Instant::now();
