--- a/crates/roster/tests/it/fan.rs
+++ b/crates/roster/tests/it/fan.rs
@@ -1,9 +1,9 @@
-//! Watchers, fan-out and heartbeats at the design size.
+//! Watchers, fan-out and heartbeats at the design size of 1,800 instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use roster::{Policy, Record, Roster, State, beat};
+use roster::{Policy, Record, Roster, State, heartbeat};
 use tokio::time::Instant;
 use unit::Instance;
 
@@ -17,7 +17,8 @@
     (all, roster)
 }
 
-/// How many of the zone's 225 a message reaches from its watchers, with `missing` not sending.
+/// Returns how many of the zone's 225 a message reaches from its watchers if `missing` relay
+/// nothing.
 fn reached(roster: &Roster, all: &[Record], seeds: &[u64], missing: &BTreeSet<Instance>) -> usize {
     let mut known: BTreeSet<Instance> = BTreeSet::new();
     for seed in seeds {
@@ -27,7 +28,7 @@
             if missing.contains(&name) || !seen.insert(name.clone()) {
                 continue;
             }
-            let children = roster.relay(*seed, &name);
+            let children = roster.relay_children(*seed, &name);
             assert!(children.len() <= DEGREE);
             queue.extend(children);
         }
@@ -36,13 +37,13 @@
     known.len()
 }
 
-/// Each of 225 instances gets a message once, and none sends more than eight.
+/// Each of 225 instances receives a message once, and none sends more than eight.
 #[test]
 fn the_tree_reaches_all() {
     let (all, roster) = zone();
     let mut got: BTreeMap<Instance, usize> = BTreeMap::new();
     for record in &all {
-        for child in roster.relay(7, &record.instance) {
+        for child in roster.relay_children(7, &record.instance) {
             *got.entry(child).or_default() += 1;
         }
     }
@@ -51,8 +52,9 @@
     assert_eq!(reached(&roster, &all, &[7], &BTreeSet::new()), 225);
 }
 
-/// A tenth of the zone has stopped and nobody has noticed yet. Those below a stopped instance
-/// get no message, and learn of it by the next heartbeat; a second tree leaves far fewer of them.
+/// A tenth of the zone has stopped and no daemon has detected it. Instances below a stopped one in
+/// the tree miss the message until the next heartbeat; a second tree leaves far fewer of them
+/// unreached.
 #[test]
 fn a_tenth_missing_leaves_few_unreached() {
     let (all, roster) = zone();
@@ -77,8 +79,8 @@
     assert!(unreached[1] * 3 < unreached[0], "{unreached:?}");
 }
 
-/// Were the watchers to change with every restart, each change would cost calls to the platform.
-/// An instance that is none changes nothing when it goes; one that is is replaced alone.
+/// Guards against changes of watchers, each of which costs calls to the platform. If an instance
+/// that is no watcher stops, the watchers stay; if a watcher stops, only it is replaced.
 #[test]
 fn watchers_are_stable() {
     let (all, full) = zone();
@@ -106,8 +108,8 @@
     }
 }
 
-/// At 1,800 instances in 8 zones each beats to 11 observers, and no daemon hears so many that
-/// heartbeats take more than a third of its 9 KB/s.
+/// With 1,800 instances in 8 zones each sends heartbeats to 11 observers, and no daemon receives so
+/// many that heartbeats take more than a third of its 9 KB/s.
 #[test]
 fn heartbeats_stay_within_the_allowance() {
     let all = records(&["a1", "a2", "a3", "b1", "b2", "b3", "c1", "c2"], 225);
@@ -122,7 +124,7 @@
     }
     let subjects = roster.dump(Instant::now()).subjects.len();
     println!("the first daemon observes {subjects}");
-    let cost = beat::cost(Policy::default().beat(), 11, subjects.max(30));
+    let cost = heartbeat::cost(Policy::default().heartbeat_interval(), 11, subjects.max(30));
     println!(
         "{:.0} bytes a second with {} observed",
         cost.bytes.per_second(),
@@ -130,5 +132,8 @@
     );
     assert!(cost.bytes.per_second() < 3_000.0);
     assert!(heard.values().all(|count| *count < 15), "{heard:?}");
-    assert_eq!(Policy::default().beat(), Duration::from_secs(5));
+    assert_eq!(
+        Policy::default().heartbeat_interval(),
+        Duration::from_secs(5)
+    );
 }
--- a/crates/roster/tests/it/removal.rs
+++ b/crates/roster/tests/it/removal.rs
@@ -1,4 +1,4 @@
-//! Who is removed, who is not, and how a mistake heals.
+//! Removal by votes, and recovery from false removals.
 
 use roster::{Finding, Merge, Policy, Record, Roster, Shared, State, Verdict, Vote};
 use tokio::time::Instant;
@@ -17,11 +17,11 @@
     }
 }
 
-/// A daemon whose link to a target has failed votes against it again and again. Callers elsewhere
-/// must not lose the target: one observer makes it suspect, and never removes it, also where the
-/// instance has no other observer.
+/// Guards against removal by a single observer. A daemon whose link to a target has failed votes
+/// against it repeatedly; this makes the target suspect and never removes it, also where the
+/// instance has no other observer. Otherwise callers elsewhere would lose a working target.
 #[test]
-fn one_observer_removes_nobody() {
+fn one_observer_removes_no_instance() {
     for (zones, each) in [(4, 10), (1, 2), (2, 1), (3, 1)] {
         let mut now = Instant::now();
         let all = records(&ZONES[..zones], each);
@@ -32,7 +32,7 @@
         for _ in 0..600 {
             now += SECOND;
             roster.review(now);
-            assert_eq!(roster.observe(now, &vote), Finding::Counted);
+            assert_eq!(roster.count_vote(now, &vote), Finding::Counted);
         }
         assert_eq!(roster.get(&about.instance), Some(about));
         let live = roster.live(&about.service);
@@ -41,8 +41,9 @@
     }
 }
 
-/// Three observers remove an instance if one is of its own zone. A stranger's vote, one about an
-/// earlier life, one withdrawn and one that is a minute old don't count.
+/// Three observers remove an instance if one is of its own zone. A vote doesn't count if it comes
+/// from an instance that is no observer, is about an earlier incarnation, was withdrawn, or is a
+/// minute old.
 #[test]
 fn a_quorum_of_observers_removes() {
     let now = Instant::now();
@@ -54,7 +55,7 @@
     let far = |name: &&Instance| !name.as_str().starts_with("sorel");
     let is_stranger = |record: &&Record| {
         let mut fresh = self::roster(now, &all[0], &all);
-        fresh.observe(now, &silent(&record.instance, about)) == Finding::Ignored
+        fresh.count_vote(now, &silent(&record.instance, about)) == Finding::Ignored
     };
     let stranger = all[10..].iter().find(is_stranger);
     assert!(stranger.is_some());
@@ -62,51 +63,52 @@
         incarnation: Incarnation(0),
         ..silent(&observers[3], about)
     };
-    assert_eq!(roster.observe(now, &old), Finding::Ignored);
+    assert_eq!(roster.count_vote(now, &old), Finding::Ignored);
     let mut roster = self::roster(now, &all[0], &all);
     let home: Vec<&Instance> = observers.iter().filter(|name| !far(name)).collect();
-    roster.observe(now, &silent(home[0], about));
-    roster.observe(now, &silent(home[1], about));
+    roster.count_vote(now, &silent(home[0], about));
+    roster.count_vote(now, &silent(home[1], about));
     let withdrawn = Vote {
         verdict: Verdict::Heard,
         ..silent(home[1], about)
     };
-    assert_eq!(roster.observe(now, &withdrawn), Finding::Counted);
+    assert_eq!(roster.count_vote(now, &withdrawn), Finding::Counted);
     assert_eq!(
-        roster.observe(now, &silent(home[2], about)),
+        roster.count_vote(now, &silent(home[2], about)),
         Finding::Counted
     );
     let later = now + SECOND * 61;
     assert_eq!(
-        roster.observe(later, &silent(home[1], about)),
+        roster.count_vote(later, &silent(home[1], about)),
         Finding::Counted
     );
     assert_eq!(
-        roster.observe(later, &silent(home[2], about)),
+        roster.count_vote(later, &silent(home[2], about)),
         Finding::Counted
     );
-    let last = roster.observe(later, &silent(home[0], about));
+    let last = roster.count_vote(later, &silent(home[0], about));
     assert!(matches!(last, Finding::Removed(gone) if gone.state == State::Gone));
 }
 
-/// Without a vote from its own zone, a zone may be cut off. Votes of one other zone, however many
-/// observers, must not remove its instances: a majority of the other zones is asked for.
+/// Guards against removing the instances of a zone that is only cut off. Without a vote from the
+/// instance's own zone, votes from one other zone, however many, don't suffice: a majority of the
+/// other zones is required.
 #[test]
-fn one_zone_removes_nobody_of_another() {
+fn one_zone_removes_no_instance_of_another() {
     let now = Instant::now();
     let all = records(&ZONES, 10);
     let about = &all[5];
     let mut roster = roster(now, &all[0], &all);
     let abroad = all[10..].iter().map(|record| &record.instance);
     let mut counted =
-        abroad.filter(|name| roster.observe(now, &silent(name, about)) == Finding::Counted);
-    // The first votes come from one zone; they are counted, and it takes another zone's.
+        abroad.filter(|name| roster.count_vote(now, &silent(name, about)) == Finding::Counted);
+    // The first votes come from one zone. They are counted; removal needs a vote of another zone.
     let zones: Vec<String> = counted
         .by_ref()
         .map(|name| {
             name.as_str()
                 .rsplit_once('-')
-                .expect("a number")
+                .expect("name with a number")
                 .0
                 .to_string()
         })
@@ -121,8 +123,9 @@
     );
 }
 
-/// A target stops without a word. Callers avoid it within seconds; it is removed once several
-/// have missed it for a minute, everywhere, and the platform isn't asked.
+/// A target stops without announcing it. Callers avoid it within seconds, and once several
+/// observers have missed its heartbeats for a minute all daemons remove it, without calls to the
+/// platform.
 #[test]
 fn a_dead_instance_is_suspect_then_removed() {
     let mut world = World::new(&records(&ZONES, 6));
@@ -146,8 +149,8 @@
     assert_eq!((world.writes, world.reads), (0, 0));
 }
 
-/// A daemon's own network card fails: it hears nobody, for ten minutes. It must take itself to
-/// be cut off and vote against nobody; the others remove it, and it refutes that on its return.
+/// A daemon's own network fails, so it receives nothing for ten minutes. It must assume that it is
+/// cut off and cast no votes. The others remove it, and it refutes that when it returns.
 #[test]
 fn a_daemon_that_is_cut_off_abstains() {
     let mut world = World::new(&records(&ZONES, 6));
@@ -172,11 +175,11 @@
     assert!((1..=20).contains(&world.reads), "{}", world.reads);
 }
 
-/// A live instance is removed by mistake: callers pass it over. It hears of its removal and
-/// announces a higher incarnation, to the daemons at once and to the platform within 30 s, so
-/// that a whole region falsely removed doesn't write at the same moment.
+/// A live instance is removed by mistake, so callers avoid it. It learns of the removal and
+/// announces a higher incarnation, to the daemons at once and to the platform within 30 s, so that
+/// a whole region that was falsely removed doesn't write at the same moment.
 #[test]
-fn a_false_removal_heals() {
+fn a_false_removal_is_refuted() {
     let now = Instant::now();
     let all = records(&ZONES, 3);
     let mut roster = roster(now, &all[0], &all);
@@ -185,24 +188,24 @@
         ..all[0].clone()
     };
     assert_eq!(roster.merge(now, gone.clone()), Merge::Old);
-    let refuted = roster.own().unwrap();
+    let refuted = roster.take_announcement().unwrap();
     assert_eq!(
         (refuted.incarnation, refuted.state),
         (Incarnation(2), State::Live)
     );
     assert!(refuted.supersedes(&gone));
-    assert_eq!(roster.own(), None);
-    assert_eq!(roster.write(now), None);
-    assert_eq!(roster.write(now + SECOND * 30), Some(refuted.clone()));
-    roster.written(&all[0]);
-    assert!(roster.write(now + SECOND * 30).is_some());
-    roster.written(&refuted);
-    assert_eq!(roster.write(now + SECOND * 30), None);
+    assert_eq!(roster.take_announcement(), None);
+    assert_eq!(roster.due_write(now), None);
+    assert_eq!(roster.due_write(now + SECOND * 30), Some(refuted.clone()));
+    roster.write_confirmed(&all[0]);
+    assert!(roster.due_write(now + SECOND * 30).is_some());
+    roster.write_confirmed(&refuted);
+    assert_eq!(roster.due_write(now + SECOND * 30), None);
 }
 
-/// A process is paused, its instance replaced under the same name, and then it wakes up. If it
-/// refuted the newcomer, the two would push each other out for ever. The one that has run for
-/// longer gives way and writes nothing; the newcomer wins even if its clock is behind.
+/// A process is paused, its instance is replaced under the same name, and the process resumes. If
+/// it refuted the new one, the two would displace each other for ever. The process that has run for
+/// longer gives way and writes nothing; the new one wins even if its clock is behind.
 #[test]
 fn a_replaced_process_gives_way() {
     let now = Instant::now();
@@ -216,7 +219,7 @@
     assert!(!newcomer.replaced());
     assert_eq!(newcomer.own_record().incarnation, Incarnation(10));
     let mut paused = Roster::new(now, own.clone(), Policy::default(), 1);
-    assert!(paused.write(now).is_some());
+    assert!(paused.due_write(now).is_some());
     assert_eq!(
         paused.merge(now + SECOND * 120, next.clone()),
         Merge::Changed
@@ -224,16 +227,19 @@
     assert!(paused.replaced());
     paused.leave(now + SECOND * 121);
     assert_eq!(
-        (paused.own(), paused.write(now + SECOND * 200)),
+        (
+            paused.take_announcement(),
+            paused.due_write(now + SECOND * 200)
+        ),
         (None, None)
     );
     assert_eq!(paused.get(&next.instance), Some(&next));
 }
 
-/// The process is paused for two minutes. On waking up all heartbeats look late, though nobody
-/// else has failed: it must blame nobody for the time in which it didn't look.
+/// Guards against false votes after a pause. The process is paused for two minutes, so all
+/// heartbeats look late when it resumes although no other process has failed.
 #[test]
-fn a_pause_blames_nobody() {
+fn a_pause_casts_no_votes() {
     let mut world = World::new(&records(&ZONES, 6));
     world.run(30, &|_, _| true);
     let later = world.now + SECOND * 120;
@@ -242,8 +248,9 @@
     assert_eq!(world.counts("levis-3"), (24, 0));
 }
 
-/// Threads read targets from a snapshot. A link lost marks a target there; a later sign of life,
-/// noted without the roster's lock, clears it; a leaving instance is no target at once.
+/// Threads read targets from a snapshot. A lost link marks a target as suspect there, a later
+/// sighting, recorded without the roster's lock, clears it, and a leaving instance stops being a
+/// target at once.
 #[test]
 fn a_snapshot_follows_the_roster() {
     let now = Instant::now();
@@ -254,14 +261,14 @@
         live.iter().filter(|target| target.suspect).count()
     };
     let before = shared.version();
-    shared.with(|roster| roster.lost(now, &all[1].instance));
+    shared.with(|roster| roster.link_lost(now, &all[1].instance));
     assert_eq!(suspects(&shared), 1);
     assert!(shared.version() > before);
-    shared.heard(now + SECOND, &all[1].instance);
+    shared.mark_seen(now + SECOND, &all[1].instance);
     shared.with(|roster| roster.review(now + SECOND));
     assert_eq!(suspects(&shared), 0);
     shared.with(|roster| roster.leave(now));
     assert_eq!(shared.live(&all[0].service).len(), 7);
-    let leaving = shared.with(Roster::own).unwrap();
+    let leaving = shared.with(Roster::take_announcement).unwrap();
     assert_eq!(leaving.state, State::Leaving);
 }
