--- a/crates/ledger/tests/ledger/era.rs
+++ b/crates/ledger/tests/ledger/era.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy, and the claims that it has lost.
+//! Restoring the store from an older copy, which loses the claims written since.
 
 use std::ops::Range;
 
@@ -7,7 +7,7 @@
 use store::{Condition, Object};
 use unit::{Outcome, Size, Token};
 
-use crate::common::{claim, end, key, pass};
+use crate::common::{advance, claim, end, key};
 
 fn open(platform: &Platform, name: &str) -> Ledger {
     Ledger::builder(platform.store_named(name))
@@ -22,16 +22,17 @@
     assert_eq!(claimed, Ok(Claimed::Granted), "{number}");
 }
 
-/// Guards against a request that runs twice, as the claim of its first run was lost.
+/// Guards against a request that runs twice because the restored store has lost the claim of its
+/// first run.
 #[tokio::test(start_paused = true)]
-async fn a_claim_that_was_lost_with_the_copy_is_not_granted_again() {
+async fn claim_lost_by_restore_is_not_granted_again() {
     let platform = Platform::builder().open();
     let ledger = open(&platform, "a");
     grant(&ledger, 0, 1).await;
     let copy = platform.snapshot();
     grant(&ledger, 1, 2).await;
     grant(&ledger, 2, 3).await;
-    ledger.end(end(2, 3, Outcome::Ran)).await.expect("noted");
+    ledger.end(end(2, 3, Outcome::Ran)).await.expect("recorded");
     platform.restore(copy);
     let again = ledger.claim(claim(1, 100)).await.expect("answered");
     assert!(matches!(again, Claimed::Running(record) if record.token == Token(2)));
@@ -39,9 +40,10 @@
     assert!(matches!(done, Claimed::Done(record) if record.token == Token(3)));
 }
 
-/// Guards against an owner that keeps the lost claims to itself until it is gone.
+/// Guards against an owner that knows the lost claims but does not write them again: they would be
+/// gone once it stops.
 #[tokio::test(start_paused = true)]
-async fn claims_that_were_lost_are_written_again_for_the_next_owner() {
+async fn lost_claims_are_rewritten_for_next_owner() {
     let platform = Platform::builder().open();
     let first = open(&platform, "a");
     grant(&first, 0, 1).await;
@@ -50,9 +52,9 @@
         grant(&first, number, u128::from(number)).await;
     }
     platform.restore(copy);
-    // Any call of the process meets the new era; the shard is asked for nothing.
-    first.find(crate::common::key(0)).await.expect("answered");
-    pass(2_000).await;
+    // Any call to the store reveals the new era; no claim is needed to start the replay.
+    first.find(key(0)).await.expect("answered");
+    advance(2_000).await;
     drop(first);
     let next = open(&platform, "b");
     for number in 1..50 {
@@ -65,9 +67,10 @@
     }
 }
 
-/// Guards against claims, ends and releases of a former owner that the next one has read and forgets.
+/// Guards against the loss of claims, ends and releases that a former owner wrote and that the
+/// current owner has read: the former owner is gone and can't replay them.
 #[tokio::test(start_paused = true)]
-async fn what_a_former_owner_wrote_is_written_again_by_who_has_read_it() {
+async fn owner_rewrites_lost_writes_of_former_owner() {
     let platform = Platform::builder().open();
     let [first, next] = ["a", "b"].map(|name| open(&platform, name));
     grant(&first, 0, 1).await;
@@ -75,14 +78,14 @@
     let copy = platform.snapshot();
     grant(&first, 2, 3).await;
     grant(&first, 3, 4).await;
-    first.end(end(3, 4, Outcome::Ran)).await.expect("noted");
-    first.release(key(1), Token(2)).await.expect("noted");
-    pass(1_000).await;
-    // The shard goes over to another daemon, and the former owner dies.
+    first.end(end(3, 4, Outcome::Ran)).await.expect("recorded");
+    first.release(key(1), Token(2)).await.expect("recorded");
+    advance(1_000).await;
+    // Another daemon takes over the shard, and the former owner is gone.
     grant(&next, 4, 5).await;
     drop(first);
     platform.restore(copy);
-    // This write meets the new era.
+    // The response to this write reveals the new era.
     grant(&next, 5, 6).await;
     let running = next.claim(claim(2, 100)).await.expect("answered");
     assert!(
@@ -102,36 +105,35 @@
     );
 }
 
-/// Guards against a released claim that the copy brings back: its key would be dead.
+/// Guards against a key that stays taken although nothing runs: the older copy still holds its
+/// claim and lacks the release.
 #[tokio::test(start_paused = true)]
-async fn a_release_that_was_lost_with_the_copy_still_counts() {
+async fn release_lost_by_restore_stays_in_effect() {
     let platform = Platform::builder().open();
     let ledger = open(&platform, "a");
     grant(&ledger, 0, 1).await;
     let copy = platform.snapshot();
-    ledger
-        .release(crate::common::key(0), Token(1))
-        .await
-        .expect("noted");
-    pass(1_000).await;
+    ledger.release(key(0), Token(1)).await.expect("recorded");
+    advance(1_000).await;
     platform.restore(copy);
     grant(&ledger, 0, 2).await;
 }
 
-/// Guards against segments of the former era that stand in the index for those of the new one.
+/// Guards against keys that are granted twice because the index still holds segments of the former
+/// era in place of those that the new era writes under the same numbers.
 #[tokio::test(start_paused = true)]
-async fn claims_in_segments_that_were_lost_are_not_granted_again() {
+async fn claims_in_lost_segments_are_not_granted_again() {
     let platform = Platform::builder().open();
     let ledger = open(&platform, "a");
     for number in 0..60 {
         grant(&ledger, number, u128::from(number)).await;
     }
-    pass(500).await;
+    advance(500).await;
     let copy = platform.snapshot();
     for number in 60..200 {
         grant(&ledger, number, u128::from(number)).await;
     }
-    pass(500).await;
+    advance(500).await;
     platform.restore(copy);
     for number in 200..300 {
         grant(&ledger, number, u128::from(number)).await;
@@ -142,10 +144,10 @@
     }
 }
 
-/// Guards against a segment's write of the former era that lands after the return, in the place of the
-/// next segment of the new one.
+/// Guards against lost claims after a delayed write: a segment of the former era is written after
+/// the restore, under the number of the next segment of the new era.
 #[tokio::test(start_paused = true)]
-async fn a_segment_of_the_former_era_does_not_stand_for_that_of_the_new_one() {
+async fn delayed_segment_of_former_era_loses_no_claim() {
     let platform = Platform::builder().open();
     let ledger = open(&platform, "a");
     for number in 0..5 {
@@ -153,16 +155,16 @@
     }
     let copy = platform.snapshot();
     let store = platform.store();
-    let former = first_segment(&platform, &ledger, 5..100).await;
+    let former = seal_segment(&platform, &ledger, 5..100).await;
     platform.restore(copy);
-    let late = store
+    let delayed = store
         .put(&former.key, former.value, Condition::Absent)
         .await;
-    late.expect("the store has lost it");
+    delayed.expect("the restored store lacks the segment");
     for number in 200..300 {
         grant(&ledger, number, u128::from(number)).await;
     }
-    pass(500).await;
+    advance(500).await;
     drop(ledger);
     let next = open(&platform, "b");
     for number in (0..5).chain(200..300) {
@@ -171,12 +173,12 @@
     }
 }
 
-/// Claims keys until a segment is sealed, and reads it.
-async fn first_segment(platform: &Platform, ledger: &Ledger, keys: Range<u64>) -> Object {
+/// Claims the keys, which seals at least one segment, and returns the first one.
+async fn seal_segment(platform: &Platform, ledger: &Ledger, keys: Range<u64>) -> Object {
     for number in keys {
         grant(ledger, number, u128::from(number)).await;
     }
-    pass(500).await;
+    advance(500).await;
     let objects = platform.store().list("").await.expect("listed").objects;
     let mut segments = objects
         .into_iter()
--- a/crates/ledger/tests/ledger/main.rs
+++ b/crates/ledger/tests/ledger/main.rs
@@ -1,4 +1,5 @@
-//! The ledger on the stand-in: failures, segments, and a race of three owners.
+//! Tests of the ledger on an in-memory platform: store failures, rollbacks of the store, sealed
+//! segments, and concurrent owners.
 
 mod common;
 mod era;
--- a/crates/ledger/tests/ledger/race.rs
+++ b/crates/ledger/tests/ledger/race.rs
@@ -1,10 +1,11 @@
-//! Many claims of few keys through three ledgers, under a seeded schedule of faults.
+//! Many claims of few keys through three concurrent ledgers, with faults injected at random from a
+//! seed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::common::{claim, end, key, pass};
+use crate::common::{advance, claim, end, key};
 use ledger::{Claimed, Ledger, Moment};
 use parking_lot::Mutex;
 use rand::{RngExt, SeedableRng};
@@ -19,61 +20,63 @@
 const CLAIMS: u128 = 300;
 const SEEDS: u64 = 40;
 
-/// What has become of a key, as those who were granted it know.
+/// The state of a key, as the callers that were granted it know it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Life {
+enum KeyState {
     Held(Token),
-    Over,
+    /// Its request has run, so the key stays taken.
+    Ran,
 }
 
-/// The lives of the keys, and what went against the rules.
+/// The states of the keys that are not free, and the violations found.
 #[derive(Default)]
 struct History {
-    lives: BTreeMap<u64, Life>,
+    states: BTreeMap<u64, KeyState>,
     granted: u32,
     violations: Vec<String>,
 }
 
-type Shared = Arc<Mutex<History>>;
+type SharedHistory = Arc<Mutex<History>>;
 
-fn grant(history: &Shared, number: u64, token: Token) {
+fn grant(history: &SharedHistory, number: u64, token: Token) {
     let mut history = history.lock();
     history.granted += 1;
-    if let Some(life) = history.lives.insert(number, Life::Held(token)) {
-        let text = format!("key {number}: {token} granted while {life:?}");
+    if let Some(state) = history.states.insert(number, KeyState::Held(token)) {
+        let text = format!("key {number}: {token} granted while {state:?}");
         history.violations.push(text);
     }
 }
 
-/// One caller: claims, and when granted runs for a while and reports its end.
-async fn call(ledger: Ledger, history: Shared, number: u64, token: u128, seed: u64) {
+/// Simulates one caller: claims the key, and if the claim is granted, runs for a while and reports
+/// the end.
+async fn call(ledger: Ledger, history: SharedHistory, number: u64, token: u128, seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut claim = claim(number, token);
     claim.deadline = Instant::now() + Duration::from_millis(random.random_range(1..800));
-    // A caller may hang up before the ledger answers.
-    let patience = Duration::from_millis(random.random_range(1..1_000));
-    let answer = timeout(patience, ledger.claim(claim)).await;
+    // The caller may disconnect before the ledger answers.
+    let disconnect_after = Duration::from_millis(random.random_range(1..1_000));
+    let answer = timeout(disconnect_after, ledger.claim(claim)).await;
     if !matches!(answer, Ok(Ok(Claimed::Granted))) {
         return;
     }
     grant(&history, number, Token(token));
-    pass(random.random_range(0..300)).await;
-    let over = random.random_bool(0.05);
-    let life = over.then_some(Life::Over);
+    advance(random.random_range(0..300)).await;
+    let ran = random.random_bool(0.05);
+    let state = ran.then_some(KeyState::Ran);
     {
         let mut history = history.lock();
-        history.lives.remove(&number);
-        history.lives.extend(life.map(|life| (number, life)));
+        history.states.remove(&number);
+        history.states.extend(state.map(|state| (number, state)));
     }
-    let outcome = if over { Outcome::Ran } else { Outcome::NotRun };
+    let outcome = if ran { Outcome::Ran } else { Outcome::NotRun };
     ledger
         .end(end(number, token, outcome))
         .await
-        .expect("the end is taken in");
+        .expect("the end is recorded");
 }
 
-/// Switches one fault on for a while.
-async fn disturb(fault: &Fault, random: &mut Pcg64Mcg) {
+/// Injects a random fault for a random time.
+async fn inject_fault(fault: &Fault, random: &mut Pcg64Mcg) {
     match random.random_range(0..7) {
         0 => fault.lose_next(random.random_range(1..4)),
         1 => fault.lose_share(0.3, random.random()),
@@ -86,11 +89,11 @@
         5 => fault.slow(Duration::from_millis(random.random_range(1..400))),
         _ => fault.limit_writes(Rate::of(20.0), 1),
     }
-    pass(random.random_range(10..600)).await;
-    quiet(fault);
+    advance(random.random_range(10..600)).await;
+    clear_faults(fault);
 }
 
-fn quiet(fault: &Fault) {
+fn clear_faults(fault: &Fault) {
     fault.lose_next(0);
     fault.lose_share(0.0, 0);
     fault.delay_next(0, Duration::ZERO);
@@ -100,9 +103,9 @@
     fault.no_limits();
 }
 
-fn open(platform: &Platform, seed: u64, way: fn(Store) -> Store) -> [Ledger; 3] {
+fn open(platform: &Platform, seed: u64, wrap: fn(Store) -> Store) -> [Ledger; 3] {
     NAMES.map(|name| {
-        Ledger::builder(way(platform.store_named(name)))
+        Ledger::builder(wrap(platform.store_named(name)))
             .shards(2)
             .batch(5)
             .segment_size(Size::of(1_000))
@@ -113,24 +116,25 @@
     })
 }
 
-/// Runs one schedule, and answers its history and the calls that were lost or refused.
-async fn run(seed: u64, way: fn(Store) -> Store) -> (History, u64, u64) {
+/// Runs the schedule of one seed. Returns its history, and the numbers of lost and of conflicting
+/// head writes.
+async fn run(seed: u64, wrap: fn(Store) -> Store) -> (History, u64, u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let latency = Duration::from_millis(5);
     let platform = Platform::builder()
         .latency(latency)
         .timeout(Duration::from_millis(200));
     let platform = platform.open();
-    let ledgers = open(&platform, seed, way);
-    let history = Shared::default();
+    let ledgers = open(&platform, seed, wrap);
+    let history = SharedHistory::default();
     let faults = NAMES.map(|name| platform.fault_of(name));
-    let disturbing = tokio::spawn({
+    let fault_task = tokio::spawn({
         let mut random = Pcg64Mcg::seed_from_u64(!seed);
         async move {
             loop {
-                pass(random.random_range(10..200)).await;
+                advance(random.random_range(10..200)).await;
                 let fault = &faults[random.random_range(0..faults.len())];
-                disturb(fault, &mut random).await;
+                inject_fault(fault, &mut random).await;
             }
         }
     });
@@ -140,17 +144,17 @@
         let number = random.random_range(0..KEYS);
         let call = call(ledger, history.clone(), number, token, random.random());
         calls.push(tokio::spawn(call));
-        pass(random.random_range(0..30)).await;
+        advance(random.random_range(0..30)).await;
     }
-    disturbing.abort();
+    fault_task.abort();
     NAMES
         .iter()
-        .for_each(|name| quiet(&platform.fault_of(name)));
+        .for_each(|name| clear_faults(&platform.fault_of(name)));
     for call in calls {
-        call.await.expect("the caller ends");
+        call.await.expect("the caller completes");
     }
     sleep(Duration::from_secs(20)).await;
-    settle(&ledgers, &history).await;
+    check_final_state(&ledgers, &history).await;
     let counts = ledgers.iter().flat_map(|ledger| ledger.dump().shards);
     let counts = counts.map(|shard| shard.count);
     let (lost, conflicts) = counts.fold((0, 0), |(lost, conflicts), count| {
@@ -160,32 +164,34 @@
     (history, lost, conflicts)
 }
 
-/// After the faults each key is either over or free, whoever is asked.
-async fn settle(ledgers: &[Ledger], history: &Shared) {
-    for (at, ledger) in ledgers.iter().enumerate() {
+/// Checks, once all faults are cleared, that every ledger grants each key that has not run, and
+/// reports each other key as done.
+async fn check_final_state(ledgers: &[Ledger], history: &SharedHistory) {
+    for (index, ledger) in ledgers.iter().enumerate() {
         for number in 0..KEYS {
-            let token = CLAIMS + 1 + at as u128 * 100 + u128::from(number);
+            let token = CLAIMS + 1 + index as u128 * 100 + u128::from(number);
             let claimed = ledger.claim(claim(number, token)).await;
-            let over = history.lock().lives.get(&number) == Some(&Life::Over);
-            let right = match &claimed {
-                Ok(Claimed::Granted) => !over,
-                Ok(Claimed::Done(_)) => over,
+            let ran = history.lock().states.get(&number) == Some(&KeyState::Ran);
+            let is_correct = match &claimed {
+                Ok(Claimed::Granted) => !ran,
+                Ok(Claimed::Done(_)) => ran,
                 _ => false,
             };
-            if !right {
-                let text = format!("key {number}, over {over}: {claimed:?}");
+            if !is_correct {
+                let text = format!("key {number}, ran {ran}: {claimed:?}");
                 history.lock().violations.push(text);
             }
             let released = ledger.release(key(number), Token(token)).await;
-            released.expect("the release is taken in");
+            released.expect("the release is recorded");
         }
     }
 }
 
-// The callers of one key, through three daemons that all hold themselves for its owner, never run
-// it twice at a time, nor again after it ran; and once the faults are over no key is left dead.
+/// Guards against a key that is granted while another attempt holds it, or after it ran, and
+/// against a key that stays taken although nothing runs. Three ledgers own its shard concurrently
+/// while their stores fail.
 #[tokio::test(start_paused = true)]
-async fn each_key_is_granted_at_most_once_per_life() {
+async fn no_key_is_granted_while_held_or_after_it_ran() {
     let (mut granted, mut lost, mut conflicts) = (0, 0, 0);
     for seed in 0..SEEDS {
         let (history, seed_lost, seed_conflicts) = run(seed, |store| store).await;
@@ -198,7 +204,7 @@
         lost += seed_lost;
         conflicts += seed_conflicts;
     }
-    // The schedule is worth something only if the faults were met and claims were granted.
+    // The test is meaningful only if claims were granted and the faults took effect.
     assert!(granted > 500, "{granted} granted");
     assert!(
         lost > 100 && conflicts > 500,
@@ -206,8 +212,8 @@
     );
 }
 
-/// A store whose writes ignore the version that they name.
-fn without_fence(store: Store) -> Store {
+/// A store whose writes ignore their condition on the version.
+fn without_version_check(store: Store) -> Store {
     let (get, put) = (store.clone(), store);
     Store::from(Calls {
         get: Box::new(move |key, _| {
@@ -224,9 +230,10 @@
     })
 }
 
-// Shows that the check above can fail: without the version check two owners both run a key.
+/// Guards against a check that can't fail: without the version check, concurrent owners grant the
+/// same key, and the history must show it.
 #[tokio::test(start_paused = true)]
-async fn without_the_fence_keys_are_granted_twice() {
-    let (history, ..) = run(0, without_fence).await;
+async fn without_version_check_keys_are_granted_twice() {
+    let (history, ..) = run(0, without_version_check).await;
     assert!(!history.violations.is_empty());
 }
--- a/crates/ledger/tests/ledger/segment.rs
+++ b/crates/ledger/tests/ledger/segment.rs
@@ -1,8 +1,9 @@
-//! Rolling heads into sealed segments, retention, and crashes between the two writes.
+//! Sealing heads into segments, the retention, and crashes between the writes of the segment and of
+//! the head.
 
 use std::time::Duration;
 
-use crate::common::{claim, end, key, pass};
+use crate::common::{advance, claim, end, key, spawn};
 use ledger::{Builder, Claimed, Kind, Ledger};
 use standin::Platform;
 use store::{Calls, Condition, Store};
@@ -17,30 +18,32 @@
         .segment_size(Size::of(4_000))
 }
 
-/// Claims the keys in `from..to`, each key's number being its token.
+/// Claims the keys in `from..to`, each with its number as the token.
 async fn fill(ledger: &Ledger, from: u64, to: u64) {
     let tasks: Vec<_> = (from..to)
-        .map(|n| crate::common::spawn(ledger, n, u128::from(n)))
+        .map(|n| spawn(ledger, n, u128::from(n)))
         .collect();
     for task in tasks {
-        let claimed = task.await.expect("the claim ends");
+        let claimed = task.await.expect("the claim completes");
         assert_eq!(claimed, Ok(Claimed::Granted));
     }
-    pass(100).await;
+    advance(100).await;
 }
 
-async fn segments(platform: &Platform) -> usize {
+async fn segment_count(platform: &Platform) -> usize {
     let listing = platform.store().list("ledger/seg/").await;
-    listing.expect("a list").objects.len()
+    listing.expect("the segments are listed").objects.len()
 }
 
+/// Guards against a key that runs twice because a new owner does not find its claim or its end in
+/// the sealed segments.
 #[tokio::test(start_paused = true)]
 async fn a_new_owner_finds_the_keys_of_sealed_segments() {
     let platform = Platform::builder().open();
     let first = builder(&platform, "a").open();
     fill(&first, 0, KEYS).await;
     first.end(end(3, 3, Outcome::Ran)).await.unwrap();
-    assert!(segments(&platform).await >= 3);
+    assert!(segment_count(&platform).await >= 3);
     let second = builder(&platform, "b").open();
     for n in 0..KEYS {
         let claimed = second.claim(claim(n, 1_000 + u128::from(n))).await.unwrap();
@@ -56,6 +59,8 @@
     assert_eq!(second.find(key(KEYS)).await.unwrap(), None);
 }
 
+/// Guards against a sealed claim that can't be released, and against a release of an earlier claim
+/// that frees the key of a later one.
 #[tokio::test(start_paused = true)]
 async fn a_sealed_claim_can_be_released_and_claimed_again() {
     let platform = Platform::builder().open();
@@ -65,7 +70,7 @@
     let again = ledger.claim(claim(0, 5_000)).await.unwrap();
     assert_eq!(again, Claimed::Granted);
     fill(&ledger, KEYS, 2 * KEYS).await;
-    // Now the first claim, its release and the second claim are all sealed.
+    // The first claim, its release and the second claim are now all sealed.
     ledger.release(key(0), Token(0)).await.unwrap();
     let held = builder(&platform, "b")
         .open()
@@ -75,10 +80,10 @@
     assert!(matches!(held, Claimed::Running(record) if record.token == Token(5_000)));
 }
 
-// The caller of the third try runs. Both earlier tries were released, and the first release is
-// repeated late, as after a lost answer; it must not push the second one out.
+/// Guards against a key that stays taken although both earlier attempts were released. The first
+/// release is written again late, as after a lost response, and must not displace the second one.
 #[tokio::test(start_paused = true)]
-async fn a_release_repeated_late_leaves_no_dead_key() {
+async fn late_duplicate_release_leaves_key_free() {
     let platform = Platform::builder().open();
     let ledger = builder(&platform, "a").open();
     ledger.claim(claim(0, 1_001)).await.unwrap();
@@ -91,7 +96,7 @@
     assert_eq!(claimed, Ok(Claimed::Granted));
 }
 
-/// A store whose writes of segments are never answered and never take effect.
+/// A store whose segment writes never take effect and are never answered.
 fn without_segments(store: Store) -> Store {
     let [get, put, delete, list] = [(); 4].map(|()| store.clone());
     Store::from(Calls {
@@ -120,10 +125,11 @@
     })
 }
 
-// The callers of the next owner see no key run twice. The first owner dies after the head has
-// frozen a generation and before its segment is written; the next one writes the segment.
+/// Guards against keys that run twice after a crash. The first owner stops after the head was
+/// written with a frozen generation and before its segment is written. The next owner must write
+/// the segment.
 #[tokio::test(start_paused = true)]
-async fn an_owner_that_dies_before_the_segment_loses_no_claim() {
+async fn owner_crash_before_segment_write_loses_no_claim() {
     let platform = Platform::builder().open();
     let first = Ledger::builder(without_segments(platform.store()));
     let first = first
@@ -133,28 +139,28 @@
         .open();
     fill(&first, 0, 100).await;
     drop(first);
-    assert_eq!(segments(&platform).await, 0);
+    assert_eq!(segment_count(&platform).await, 0);
     let second = builder(&platform, "b").open();
     for n in 0..100 {
         let held = second.claim(claim(n, 1_000)).await.unwrap();
         assert!(matches!(held, Claimed::Running(_)), "key {n}");
     }
     fill(&second, 100, 110).await;
-    assert!(segments(&platform).await > 0);
+    assert!(segment_count(&platform).await > 0);
     let third = builder(&platform, "c").open();
     let held = third.claim(claim(0, 1_000)).await.unwrap();
     assert!(matches!(held, Claimed::Running(_)));
 }
 
-// The callers are told "not run" once the head is full. Segments can't be written, so that the head
-// can't shrink; it must not grow beyond what the platform holds either.
+/// Guards against a head that grows beyond the platform's limit for an object. Segments can't be
+/// written, so the head can't shrink, and further claims must time out.
 #[tokio::test(start_paused = true)]
-async fn a_head_that_can_not_shrink_takes_no_more_claims() {
+async fn full_head_accepts_no_more_claims() {
     let platform = Platform::builder().open();
     let store = without_segments(platform.store());
     let ledger = Ledger::builder(store).shards(1).queue(20_000).open();
     let tasks: Vec<_> = (0..15_000)
-        .map(|n| crate::common::spawn(&ledger, n, u128::from(n)))
+        .map(|n| spawn(&ledger, n, u128::from(n)))
         .collect();
     let mut granted = 0;
     for task in tasks {
@@ -165,57 +171,60 @@
     }
     assert!((10_000..12_000).contains(&granted), "{granted} granted");
     assert_eq!(ledger.dump().shards[0].count.claims, u64::from(granted));
-    // Ends still find some room, and wait beyond that.
+    // Ends are accepted up to a higher limit than claims; those beyond it stay queued.
     for n in 0..u64::from(granted) {
         let ledger = ledger.clone();
         let end = end(n, u128::from(n), Outcome::Ran);
         tokio::spawn(async move { ledger.end(end).await });
     }
-    pass(10_000).await;
+    advance(10_000).await;
     let shard = &ledger.dump().shards[0];
     assert_eq!((shard.failing_ms, shard.notes > 0), (None, true));
     assert!(shard.head_bytes < 1_000_000, "{}", shard.head_bytes);
 }
 
-// As before, but the owner dies after the segment is written and before the head counts it in. The
-// next owner writes it again, meets the first copy, and counts it once.
+/// Guards against keys that run twice, or a segment that is counted twice, after a crash. The first
+/// owner stops after a segment is written and before the head counts it. The next owner writes the
+/// segment again, finds that it exists, and counts it once.
 #[tokio::test(start_paused = true)]
-async fn an_owner_that_dies_after_the_segment_loses_no_claim() {
+async fn owner_crash_after_segment_write_loses_no_claim() {
     let platform = Platform::builder().open();
     let first = builder(&platform, "a").open();
     fill(&first, 0, 60).await;
-    pass(1_000).await;
-    let sealed = segments(&platform).await;
+    advance(1_000).await;
+    let sealed = segment_count(&platform).await;
     let counted = first.dump().shards[0].next;
     assert_eq!(
         counted + 1,
         sealed as u64,
-        "one segment is written and not counted"
+        "one segment is written and not counted in the head"
     );
     drop(first);
     let second = builder(&platform, "b").open();
     second.claim(claim(100, 1)).await.unwrap();
-    pass(1_000).await;
+    advance(1_000).await;
     second.claim(claim(101, 1)).await.unwrap();
     assert_eq!(second.dump().shards[0].next, sealed as u64);
-    assert_eq!(segments(&platform).await, sealed);
+    assert_eq!(segment_count(&platform).await, sealed);
     for n in 0..60 {
         let held = second.claim(claim(n, 9)).await.unwrap();
         assert!(matches!(held, Claimed::Running(_)), "key {n}");
     }
 }
 
+/// Guards against claims that are kept beyond the retention, so that their segments accumulate and
+/// their keys stay taken.
 #[tokio::test(start_paused = true)]
-async fn claims_out_of_the_retention_are_dropped() {
+async fn claims_past_retention_are_dropped() {
     let platform = Platform::builder().open();
-    let keeping = |name| builder(&platform, name).retention(Duration::from_secs(60));
-    let ledger = keeping("a").open();
+    let with_retention = |name| builder(&platform, name).retention(Duration::from_secs(60));
+    let ledger = with_retention("a").open();
     fill(&ledger, 0, KEYS).await;
-    let before = segments(&platform).await;
-    pass(61_000).await;
+    let before = segment_count(&platform).await;
+    advance(61_000).await;
     ledger.claim(claim(KEYS, 1)).await.unwrap();
-    pass(1_000).await;
-    assert!(segments(&platform).await < before);
+    advance(1_000).await;
+    assert!(segment_count(&platform).await < before);
     assert!(ledger.dump().shards[0].first > 0);
     assert_eq!(
         ledger.claim(claim(0, 7_000)).await.unwrap(),
@@ -225,8 +234,8 @@
     assert!(matches!(held, Claimed::Running(_)));
 }
 
-// The callers are told "not run": without a segment that the head counts nobody can tell which
-// keys have run.
+/// Guards against keys that run twice because a segment that the head counts is missing: without
+/// it, the owner can't tell which keys have run, and must not grant any claim.
 #[tokio::test(start_paused = true)]
 async fn a_missing_segment_grants_nothing() {
     let platform = Platform::builder().open();
@@ -241,6 +250,7 @@
     assert_eq!(ledger.dump().shards[0].count.granted, 0);
 }
 
+/// Guards against memory use that grows without bound with the number of keys.
 #[tokio::test(start_paused = true)]
 async fn a_shard_with_too_many_keys_refuses_new_ones() {
     let platform = Platform::builder().open();
@@ -252,15 +262,17 @@
     );
 }
 
+/// Guards against an idle shard that keeps its keys in memory, and against one that grants a key
+/// again after it has dropped them.
 #[tokio::test(start_paused = true)]
-async fn an_idle_shard_forgets_its_keys_and_reads_them_again() {
+async fn idle_shard_drops_its_keys_and_reloads_them() {
     let platform = Platform::builder().open();
     let ledger = builder(&platform, "a")
         .idle_timeout(Duration::from_secs(10))
         .open();
     fill(&ledger, 0, KEYS).await;
     assert!(ledger.dump().shards[0].sealed_keys > 0);
-    pass(11_000).await;
+    advance(11_000).await;
     assert_eq!(ledger.dump().shards[0].sealed_keys, 0);
     let held = ledger.claim(claim(0, 9_000)).await.unwrap();
     assert!(matches!(held, Claimed::Running(_)));
