--- a/crates/entry/tests/connection.rs
+++ b/crates/entry/tests/connection.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: pipelines, bodies in pieces, callers that leave, and bounds.
+//! Callers' connections: pipelining, bodies in chunks, disconnects, limits and the planned stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,8 @@
 use tokio_util::sync::CancellationToken;
 use unit::Size;
 
-const SOON: Duration = Duration::from_secs(5);
+/// Maximum time to wait for an answer or a change of state.
+const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn limits() -> ConnectionLimits {
     ConnectionLimits {
@@ -27,7 +28,7 @@
     }
 }
 
-/// Serves `handler`; the port lives as long as the test's runtime.
+/// Serves `handler` on a port of the loopback interface until the test's runtime stops.
 async fn serve(handler: Handler) -> (SocketAddr, CancellationToken) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -41,91 +42,94 @@
     (address, stop)
 }
 
-fn text(text: String) -> Response<Body> {
+fn text_response(text: String) -> Response<Body> {
     let body = Full::new(Bytes::from(text)).map_err(|never| match never {});
     Response::new(body.boxed_unsync())
 }
 
-/// Answers with the path, `/slow` after a wait and all others at once.
-fn by_path() -> Handler {
+/// Answers with the request's path: `/slow` after a delay, all others immediately.
+fn echo_path() -> Handler {
     Arc::new(|_, request: Request<Body>| {
         async move {
             let path = request.uri().path().to_string();
             if path == "/slow" {
                 sleep(Duration::from_millis(300)).await;
             }
-            text(path)
+            text_response(path)
         }
         .boxed()
     })
 }
 
+/// Reads until the answers contain `wanted`, and returns all that was read.
 async fn read_until(stream: &mut TcpStream, wanted: &str) -> String {
     let mut all = Vec::new();
     let read = async {
-        let mut piece = [0; 1_024];
+        let mut buffer = [0; 1_024];
         while !String::from_utf8_lossy(&all).contains(wanted) {
-            let count = stream.read(&mut piece).await.expect("bytes");
+            let count = stream.read(&mut buffer).await.expect("bytes");
             assert!(
                 count > 0,
                 "the connection ended: {}",
                 String::from_utf8_lossy(&all)
             );
-            all.extend_from_slice(&piece[..count]);
+            all.extend_from_slice(&buffer[..count]);
         }
     };
-    timeout(SOON, read).await.expect("an answer in time");
+    timeout(TEST_TIMEOUT, read)
+        .await
+        .expect("the answer arrives in time");
     String::from_utf8_lossy(&all).into_owned()
 }
 
-/// A caller sends a second request before the first is answered. It must not wait for the first's
-/// service time, and its answer comes second all the same.
+/// Guards against a pipelined request that waits for the service time of the previous one. The
+/// answers must still be sent in the order of the requests.
 #[tokio::test]
-async fn pipelined_requests_run_side_by_side() {
+async fn pipelined_requests_run_concurrently() {
     let running = Arc::new(AtomicUsize::new(0));
-    let most = Arc::new(AtomicUsize::new(0));
-    let (now, peak) = (running.clone(), most.clone());
+    let max_running = Arc::new(AtomicUsize::new(0));
+    let (count, max) = (running.clone(), max_running.clone());
     let handler: Handler = Arc::new(move |_, request: Request<Body>| {
-        let (now, peak) = (now.clone(), peak.clone());
+        let (count, max) = (count.clone(), max.clone());
         async move {
-            peak.fetch_max(now.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
+            max.fetch_max(count.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
             sleep(Duration::from_millis(100)).await;
-            now.fetch_sub(1, Ordering::SeqCst);
-            text(request.uri().path().to_string())
+            count.fetch_sub(1, Ordering::SeqCst);
+            text_response(request.uri().path().to_string())
         }
         .boxed()
     });
     let (address, _stop) = serve(handler).await;
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("connected");
     let requests = "GET /first HTTP/1.1\r\nHost: h\r\n\r\nGET /second HTTP/1.1\r\nHost: h\r\n\r\n";
     stream.write_all(requests.as_bytes()).await.expect("sent");
     let answers = read_until(&mut stream, "/second").await;
-    assert_eq!(most.load(Ordering::SeqCst), 2, "both ran at once");
+    assert_eq!(max_running.load(Ordering::SeqCst), 2, "ran concurrently");
     let first = answers.find("/first").expect("the first answer");
     assert!(first < answers.find("/second").expect("the second answer"));
 }
 
-/// A body comes in many small pieces, and the last of them fills the handler's channel. The end of
-/// the body must reach the handler all the same: else the request is never answered, and its caller
-/// waits until its deadline.
+/// Guards against a request that is not answered before its caller's deadline. Its body arrives in
+/// many small chunks, the last of which fills the channel to the handler. The end of the body must
+/// reach the handler nevertheless.
 #[tokio::test]
-async fn body_in_small_pieces_ends() {
+async fn end_of_body_in_small_chunks_reaches_handler() {
     let handler: Handler = Arc::new(|_, request: Request<Body>| {
         async move {
             sleep(Duration::from_millis(50)).await;
             let body = request.into_body().collect().await.expect("a body");
-            text(format!("got {}", body.to_bytes().len()))
+            text_response(format!("got {}", body.to_bytes().len()))
         }
         .boxed()
     });
     let (address, _stop) = serve(handler).await;
-    for pieces in 1..12 {
-        let mut stream = TcpStream::connect(address).await.expect("a connection");
-        stream.set_nodelay(true).expect("no delay");
-        let length = pieces * 64;
+    for chunks in 1..12 {
+        let mut stream = TcpStream::connect(address).await.expect("connected");
+        stream.set_nodelay(true).expect("TCP_NODELAY is set");
+        let length = chunks * 64;
         let head = format!("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n");
         stream.write_all(head.as_bytes()).await.expect("sent");
-        for _ in 0..pieces {
+        for _ in 0..chunks {
             sleep(Duration::from_millis(2)).await;
             stream.write_all(&[7; 64]).await.expect("sent");
         }
@@ -133,18 +137,19 @@
     }
 }
 
+/// Guards against a request that is read as part of the chunked body before it, and the reverse.
 #[tokio::test]
-async fn chunked_body_and_next_request_are_told_apart() {
+async fn chunked_body_and_next_request_are_separated() {
     let handler: Handler = Arc::new(|_, request: Request<Body>| {
         async move {
             let path = request.uri().path().to_string();
             let body = request.into_body().collect().await.expect("a body");
-            text(format!("{path} {}", body.to_bytes().len()))
+            text_response(format!("{path} {}", body.to_bytes().len()))
         }
         .boxed()
     });
     let (address, _stop) = serve(handler).await;
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("connected");
     let mut sent = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n".to_string();
     for _ in 0..9 {
         sent.push_str("3\r\nabc\r\n");
@@ -155,55 +160,62 @@
     assert!(answers.contains("/a 27"), "{answers}");
 }
 
-/// The caller closes while its request runs, and more bytes of a pipelined one lie in the buffer.
-/// The run must be dropped, or the target works on for nobody.
+/// Guards against a target that works on an answer that nobody reads. The caller disconnects while
+/// its request runs and the buffer holds part of a pipelined one. The running request must be
+/// dropped.
 #[tokio::test]
-async fn caller_that_leaves_cancels_what_runs() {
-    struct Alive(Arc<AtomicUsize>);
-    impl Drop for Alive {
+async fn disconnect_cancels_running_request() {
+    struct RunningGuard(Arc<AtomicUsize>);
+    impl Drop for RunningGuard {
         fn drop(&mut self) {
             self.0.fetch_sub(1, Ordering::SeqCst);
         }
     }
-    let alive = Arc::new(AtomicUsize::new(0));
-    let count = alive.clone();
+    let running = Arc::new(AtomicUsize::new(0));
+    let count = running.clone();
     let handler: Handler = Arc::new(move |_, _| {
         count.fetch_add(1, Ordering::SeqCst);
-        let guard = Alive(count.clone());
+        let guard = RunningGuard(count.clone());
         async move {
             sleep(Duration::from_secs(600)).await;
             drop(guard);
-            text(String::new())
+            text_response(String::new())
         }
         .boxed()
     });
     let (address, _stop) = serve(handler).await;
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("connected");
     let sent = "GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHo";
     stream.write_all(sent.as_bytes()).await.expect("sent");
-    let until = Instant::now() + SOON;
-    while alive.load(Ordering::SeqCst) == 0 && Instant::now() < until {
+    let until = Instant::now() + TEST_TIMEOUT;
+    while running.load(Ordering::SeqCst) == 0 && Instant::now() < until {
         sleep(Duration::from_millis(5)).await;
     }
-    assert_eq!(alive.load(Ordering::SeqCst), 1, "the whole request runs");
+    assert_eq!(
+        running.load(Ordering::SeqCst),
+        1,
+        "only the complete request runs"
+    );
     drop(stream);
-    while alive.load(Ordering::SeqCst) == 1 && Instant::now() < until {
+    while running.load(Ordering::SeqCst) == 1 && Instant::now() < until {
         sleep(Duration::from_millis(5)).await;
     }
-    assert_eq!(alive.load(Ordering::SeqCst), 0, "the run was dropped");
+    assert_eq!(running.load(Ordering::SeqCst), 0, "the run was dropped");
 }
 
+/// Guards against heads that occupy a connection or memory without limit, and against refusals with
+/// the wrong status: 400 if the head is malformed, 431 if too large, 408 if it takes too long.
 #[tokio::test]
-async fn malformed_and_endless_heads_are_refused() {
-    let (address, _stop) = serve(by_path()).await;
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+async fn malformed_large_and_slow_heads_are_refused() {
+    let (address, _stop) = serve(echo_path()).await;
+    let mut stream = TcpStream::connect(address).await.expect("connected");
     stream
         .write_all(b"GET / HTTP/1.1\r\n\r\n")
         .await
         .expect("sent");
     let answer = read_until(&mut stream, "\r\n\r\n").await;
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("connected");
     let long = format!(
         "GET / HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n",
         "x".repeat(5_000)
@@ -211,25 +223,27 @@
     stream.write_all(long.as_bytes()).await.expect("sent");
     let answer = read_until(&mut stream, "\r\n\r\n").await;
     assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("connected");
     stream.write_all(b"GET / HT").await.expect("sent");
     let answer = read_until(&mut stream, "\r\n\r\n").await;
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
 }
 
-/// The first of two pipelined requests is answered while the daemon stops. An answer that closes the
-/// connection would make its caller send the second again, though it runs here.
+/// Guards against a request that runs twice during a planned stop. If the answer to the first of two
+/// pipelined requests closed the connection, its caller would resend the second one, although it
+/// already runs.
 #[tokio::test]
-async fn stop_closes_behind_the_last_answer() {
-    let (address, stop) = serve(by_path()).await;
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+async fn stop_closes_connection_after_last_answer() {
+    let (address, stop) = serve(echo_path()).await;
+    let mut stream = TcpStream::connect(address).await.expect("connected");
     let requests = "GET /slow HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n";
     stream.write_all(requests.as_bytes()).await.expect("sent");
     sleep(Duration::from_millis(50)).await;
     stop.cancel();
     let mut all = String::new();
-    let read = timeout(SOON, stream.read_to_string(&mut all)).await;
-    read.expect("the connection ends").expect("text");
+    let read = timeout(TEST_TIMEOUT, stream.read_to_string(&mut all)).await;
+    read.expect("the connection closes in time")
+        .expect("the answers are text");
     let first = all.find("/slow").expect("the first answer");
     assert!(!all[..first].contains("connection: close"), "{all}");
     assert!(all[first..].contains("connection: close"), "{all}");
--- a/crates/entry/tests/serial.rs
+++ b/crates/entry/tests/hyper_pipelining.rs
@@ -1,5 +1,5 @@
-//! Why callers' connections are our own: hyper takes up a connection's second request when the
-//! first is answered. When this test fails, the reason that docs/design/http.md gives is gone.
+//! The reason why the entry has its own server for callers' connections: hyper starts a pipelined
+//! request only after it has answered the previous one.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -14,13 +14,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep};
 
-const WORK: Duration = Duration::from_millis(100);
+const SERVICE_TIME: Duration = Duration::from_millis(100);
 
+/// If this test fails, hyper serves pipelined requests concurrently, and this reason no longer
+/// holds.
 #[tokio::test]
-async fn hyper_runs_the_requests_of_a_pipeline_one_after_the_other() {
+async fn hyper_serves_pipelined_requests_serially() {
     let (mut caller, server) = tokio::io::duplex(65_536);
     let service = service_fn(|_: Request<Incoming>| async {
-        sleep(WORK).await;
+        sleep(SERVICE_TIME).await;
         Ok::<_, Infallible>(Response::new(Full::new(Bytes::from("done"))))
     });
     let mut builder = http1::Builder::new();
@@ -30,11 +32,21 @@
     let request = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
     let last = "GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     let both = format!("{request}{last}");
-    caller.write_all(both.as_bytes()).await.expect("written");
+    caller
+        .write_all(both.as_bytes())
+        .await
+        .expect("the requests are written");
     let mut answers = String::new();
     let read = caller.read_to_string(&mut answers).await;
-    read.expect("both answers");
+    read.expect("both answers are read");
     assert_eq!(answers.matches("done").count(), 2, "{answers}");
-    assert!(started.elapsed() >= WORK * 2, "{:?}", started.elapsed());
-    serving.await.expect("served").expect("no error");
+    assert!(
+        started.elapsed() >= SERVICE_TIME * 2,
+        "{:?}",
+        started.elapsed()
+    );
+    serving
+        .await
+        .expect("the server task completes")
+        .expect("the connection is served without an error");
 }
--- a/crates/entry/tests/once.rs
+++ b/crates/entry/tests/once.rs
@@ -1,4 +1,4 @@
-//! A key that is sent again while the instance that holds its claim can't be asked.
+//! Requests with a key whose claim is held by an instance that can't be reached.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::Arc;
@@ -23,33 +23,33 @@
     ]
 }"#;
 
-/// The token under which another instance holds the key.
-const HELD: Token = Token(7);
+/// The token of the claim by which another instance holds the key.
+const HOLDER_TOKEN: Token = Token(7);
 
-fn name<T: std::str::FromStr>(text: &str) -> T {
-    text.parse().ok().expect("a good name")
+fn parse<T: std::str::FromStr>(text: &str) -> T {
+    text.parse().ok().expect("a valid name")
 }
 
 fn record(claim: &Claim) -> Record {
     Record {
         key: claim.key,
         body: 0,
-        token: HELD,
+        token: HOLDER_TOKEN,
         caller: claim.caller.clone(),
-        entry: name("desk-b"),
+        entry: parse("desk-b"),
         rule: claim.rule.clone(),
         at: Moment::now(),
         end: None,
     }
 }
 
-/// An entry that reaches no peer and has no target. The key is held by another instance for the
-/// first `held` looks at it, and free then.
-fn entry(held: usize, looks: Arc<AtomicUsize>) -> Arc<Entry> {
-    let document = Arc::new(Document::parse(RULES).expect("good rules"));
+/// An entry that reaches no peer and has no target. The first `held` claims find the key held by
+/// another instance; later ones are granted. `claims_made` counts the claims.
+fn entry(held: usize, claims_made: Arc<AtomicUsize>) -> Arc<Entry> {
+    let document = Arc::new(Document::parse(RULES).expect("valid rules"));
     let greeter = Greeter {
         own: Arc::new(|| Greeting {
-            instance: name("desk-a"),
+            instance: parse("desk-a"),
             fingerprint: Fingerprint([0; 32]),
             card: Vec::new(),
         }),
@@ -58,7 +58,7 @@
     };
     let claim = move |claim: Claim| {
         let token = claim.token;
-        let claimed = match looks.fetch_add(1, Ordering::SeqCst) < held {
+        let claimed = match claims_made.fetch_add(1, Ordering::SeqCst) < held {
             true => Claimed::Running(record(&claim)),
             false => Claimed::Granted,
         };
@@ -69,59 +69,60 @@
         claim: Box::new(claim),
         end: Box::new(|_| {}),
     };
-    let (zone, service): (Zone, Service) = (name("longbien"), name("desk"));
+    let (zone, service): (Zone, Service) = (parse("longbien"), parse("desk"));
     let dialer = Arc::new(Dialer::plain(greeter));
-    let builder = Entry::builder(name("desk-a"), zone, service, dialer);
+    let builder = Entry::builder(parse("desk-a"), zone, service, dialer);
     let rules = Arc::new(move || Some(document.clone()));
     Arc::new(builder.rules(rules).claims(claims).build())
 }
 
 async fn send(entry: &Arc<Entry>, path: &str) -> Response<Body> {
     let request = Request::post(path).header("idempotency-key", "k");
-    let request = request.body(Body::default()).expect("a good request");
+    let request = request.body(Body::default()).expect("a valid request");
     let caller = Origin::Outside(IpAddr::V4(Ipv4Addr::LOCALHOST));
     entry.handle(caller, request).await
 }
 
-fn head<'a>(response: &'a Response<Body>, header: &str) -> &'a str {
-    let value = response.headers().get(header);
+fn header<'a>(response: &'a Response<Body>, name: &str) -> &'a str {
+    let value = response.headers().get(name);
     value.and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
+/// Guards against a request that is answered "unknown" although nothing has run, so that its
+/// caller could never resend it. The first attempt was answered "not run", and its resend arrives
+/// through another instance before the release is written. The instances have just started and
+/// are not linked yet. The resend must wait for the release and run.
 #[tokio::test(start_paused = true)]
-async fn a_key_whose_release_is_on_its_way_runs() {
-    // The first send is told "not run", and comes again at once by another instance. The release of
-    // its claim is not written yet, and the two instances have just started, so that no link between
-    // them stands. The second send must wait for the release and run; told "unknown", its caller
-    // could never send it again, though nothing has run.
-    let looks = Arc::new(AtomicUsize::new(0));
-    let answer = send(&entry(3, looks.clone()), "/order/slip").await;
-    assert_eq!(looks.load(Ordering::SeqCst), 4);
-    // It was let run: that no target is there is another matter.
-    let outcome = (head(&answer, OUTCOME), head(&answer, REASON));
+async fn key_with_a_pending_release_runs() {
+    let claims_made = Arc::new(AtomicUsize::new(0));
+    let answer = send(&entry(3, claims_made.clone()), "/order/slip").await;
+    assert_eq!(claims_made.load(Ordering::SeqCst), 4);
+    // The claim was granted; the request is refused only because there is no target.
+    let outcome = (header(&answer, OUTCOME), header(&answer, REASON));
     assert_eq!(outcome, ("not-run", "no-target"));
 }
 
+/// Guards against a caller that waits for its whole deadline of 10 s, and against a ledger that is
+/// asked every few milliseconds meanwhile. The instance that holds the claim has died, and
+/// nothing will release it. Its request may have run, so the answer is "unknown".
 #[tokio::test(start_paused = true)]
-async fn a_key_whose_holder_is_gone_is_unknown_long_before_the_deadline() {
-    // The instance that holds the claim has died, and nobody will release it. Its request may have
-    // run, so the caller is told "unknown": after a moment, not at the end of its 10 s, and without
-    // a look at the ledger every few milliseconds.
-    let looks = Arc::new(AtomicUsize::new(0));
-    let began = Instant::now();
-    let answer = send(&entry(usize::MAX, looks.clone()), "/order/slip").await;
-    let outcome = (head(&answer, OUTCOME), head(&answer, REASON));
+async fn key_of_a_dead_holder_is_unknown_well_before_the_deadline() {
+    let claims_made = Arc::new(AtomicUsize::new(0));
+    let start = Instant::now();
+    let answer = send(&entry(usize::MAX, claims_made.clone()), "/order/slip").await;
+    let outcome = (header(&answer, OUTCOME), header(&answer, REASON));
     assert_eq!(outcome, ("unknown", "lost"));
-    assert!(began.elapsed() < Duration::from_secs(2));
-    assert!(looks.load(Ordering::SeqCst) < 16, "{looks:?}");
+    assert!(start.elapsed() < Duration::from_secs(2));
+    assert!(claims_made.load(Ordering::SeqCst) < 16, "{claims_made:?}");
 }
 
+/// Guards against the answer 502, as for a lost run, when the deadline passes before the run of
+/// the unreachable holder counts as lost.
 #[tokio::test(start_paused = true)]
-async fn a_key_whose_holder_is_silent_until_the_deadline_is_late() {
-    // The caller's time ends before the holder can be held for gone, and the caller was told 502.
-    let looks = Arc::new(AtomicUsize::new(0));
-    let answer = send(&entry(usize::MAX, looks), "/hurried/slip").await;
-    let outcome = (head(&answer, OUTCOME), head(&answer, REASON));
+async fn deadline_before_the_holder_counts_as_lost_gives_504() {
+    let claims_made = Arc::new(AtomicUsize::new(0));
+    let answer = send(&entry(usize::MAX, claims_made), "/hurried/slip").await;
+    let outcome = (header(&answer, OUTCOME), header(&answer, REASON));
     assert_eq!(
         (answer.status().as_u16(), outcome),
         (504, ("unknown", "deadline"))
