--- a/crates/appleshore/src/assembly.rs
+++ b/crates/appleshore/src/assembly.rs
@@ -11,7 +11,7 @@
 use roster::{Record, Shared};
 use setting::Setting;
 use store::Store;
-use target::{Announced, Server};
+use target::{Heartbeats, Server};
 use tokio_util::task::TaskTracker;
 use unit::{Depth, Fingerprint, Incarnation};
 use wire::Dialer;
@@ -60,26 +60,26 @@
     let server = Server::builder(setting.service.clone(), setting.target, gate.build())
         .nests(nests.clone())
         .max_depth(Depth(setting.limits.depth))
-        .body_idle(setting.limits.idle.0)
+        .idle_timeout(setting.limits.idle.0)
         .held(held.clone())
         .dialect(profile.dialect.clone());
     match profile.heartbeat {
         Some(period) => server
-            .announced(announced(setting, period, current))
+            .heartbeats(heartbeats(setting, period, current))
             .build(),
         None => server.build(),
     }
 }
 
-fn announced(setting: &Setting, period: Duration, current: &Arc<Current>) -> Announced {
+fn heartbeats(setting: &Setting, period: Duration, current: &Arc<Current>) -> Heartbeats {
     let (service, current) = (setting.service.clone(), current.clone());
-    let health = move || {
+    let health_path = move || {
         let rules = current.get()?;
         rules.document.target(&service)?.health.clone()
     };
-    Announced {
+    Heartbeats {
         period,
-        health: Arc::new(health),
+        health_path: Arc::new(health_path),
     }
 }
 
--- a/crates/appleshore/src/daemon.rs
+++ b/crates/appleshore/src/daemon.rs
@@ -257,7 +257,7 @@
             self.tasks.spawn(notice::run(gate, hearers));
         }
         if state.profile.heartbeat.is_some() {
-            state.server.set_measuring(REPORTS);
+            state.server.set_report_budget(REPORTS);
         } else {
             let service = state.setting.service.clone();
             let measuring = measuring::run(state.current.clone(), state.server.clone(), service);
--- a/crates/appleshore/src/measuring.rs
+++ b/crates/appleshore/src/measuring.rs
@@ -19,7 +19,7 @@
         if let Some(rules) = current.get().filter(|rules| rules.version != seen) {
             seen = rules.version;
             if let Some(bytes) = least(&rules.document, &service) {
-                server.set_measuring(bytes);
+                server.set_report_budget(bytes);
             }
         }
         sleep(PERIOD).await;
--- a/crates/target/src/builder.rs
+++ b/crates/target/src/builder.rs
@@ -23,23 +23,23 @@
     pub(crate) gate: Gate,
     pub(crate) nests: Table,
     pub(crate) max_depth: Depth,
-    pub(crate) body_idle: Duration,
+    pub(crate) idle_timeout: Duration,
     pub(crate) held: held::Table,
     pub(crate) dialect: Dialect,
-    pub(crate) announced: Option<Announced>,
+    pub(crate) heartbeats: Option<Heartbeats>,
 }
 
 /// How a target is known that announces itself.
 #[derive(Clone)]
-pub struct Announced {
+pub struct Heartbeats {
     /// The time between two of its heartbeats.
     pub period: Duration,
     /// The path that answers how it is, if one is known.
-    pub health: Health,
+    pub health_path: HealthPath,
 }
 
 /// Tells the health path of the targets of the own service.
-pub type Health = Arc<dyn Fn() -> Option<String> + Send + Sync>;
+pub type HealthPath = Arc<dyn Fn() -> Option<String> + Send + Sync>;
 
 impl Builder {
     pub(crate) fn new(service: Service, target: SocketAddr, gate: Gate) -> Builder {
@@ -49,10 +49,10 @@
             gate,
             nests: Table::default(),
             max_depth: Depth(9),
-            body_idle: Duration::from_secs(60),
+            idle_timeout: Duration::from_secs(60),
             held: held::Table::new(HELD, HOLD_FOR),
             dialect: Dialect::default(),
-            announced: None,
+            heartbeats: None,
         }
     }
 
@@ -69,8 +69,8 @@
     }
 
     /// Longest pause inside an answer's body; 60 s unless set.
-    pub fn body_idle(mut self, pause: Duration) -> Builder {
-        self.body_idle = pause;
+    pub fn idle_timeout(mut self, timeout: Duration) -> Builder {
+        self.idle_timeout = timeout;
         self
     }
 
@@ -87,8 +87,8 @@
     }
 
     /// The target announces itself: it gets nothing before it has, or has answered for itself.
-    pub fn announced(mut self, announced: Announced) -> Builder {
-        self.announced = Some(announced);
+    pub fn heartbeats(mut self, heartbeats: Heartbeats) -> Builder {
+        self.heartbeats = Some(heartbeats);
         self
     }
 
--- a/crates/target/src/call/deliver.rs
+++ b/crates/target/src/call/deliver.rs
@@ -56,9 +56,9 @@
         // is kept for whoever asks after the token.
         let relay = Relay {
             sender: &mut sender,
-            idle: self.server.body_idle,
+            idle: self.server.idle_timeout,
             keep: self.call.once,
-            whole_first: self.server.announced.is_some(),
+            whole_first: self.server.heartbeats.is_some(),
         };
         let ended = match relay.run(&reply, &mut connection).await {
             Ok(ended) => ended,
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -29,9 +29,9 @@
 mod verdict;
 mod watch;
 
-pub use builder::{Announced, Builder, Health};
+pub use builder::{Builder, HealthPath, Heartbeats};
 pub use connection::Error;
-pub use life::{Beat, Heard, Life, Stage};
+pub use life::{Effect, Heartbeat, Life, Stage};
 pub use server::Server;
 pub use stats::Stats;
 pub use watch::watch;
--- a/crates/target/src/life.rs
+++ b/crates/target/src/life.rs
@@ -21,7 +21,7 @@
 
 /// What one heartbeat says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The life of the target.
     pub life: String,
     /// When that life began, by the target's own clock; `None` where it doesn't tell.
@@ -56,20 +56,20 @@
 
 /// What a heartbeat changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum Effect {
     /// Something that the gate has to be told.
     Changed,
     /// The target has started anew; what was known of the start before is worth nothing.
-    Began,
+    Restarted,
     /// Nothing.
-    Same,
+    Unchanged,
     /// It came late, and is passed over.
     Late,
     /// It doesn't say when its life began, though that life has said so before: another writer's.
-    Unsigned,
+    Undated,
     /// It names another life, while the known one was heard a moment ago: the target itself has to
     /// be asked which of them it is.
-    Doubtful,
+    Conflicting,
 }
 
 /// The life at the target's address.
@@ -93,7 +93,7 @@
     former: VecDeque<Former>,
     /// A life that has announced itself while another was known.
     #[serde(skip)]
-    claimant: Option<Beat>,
+    claimant: Option<Heartbeat>,
 }
 
 /// A life that was at the address before.
@@ -128,10 +128,10 @@
     }
 
     /// Takes in a heartbeat; one known life counts as alive for `fresh` after its last.
-    pub fn beat(&mut self, now: Instant, beat: &Beat, fresh: Duration) -> Heard {
+    pub fn receive_heartbeat(&mut self, now: Instant, beat: &Heartbeat, fresh: Duration) -> Effect {
         if self.name.as_deref() == Some(&beat.life) {
             return match (self.born, beat.born) {
-                (Some(_), None) => Heard::Unsigned,
+                (Some(_), None) => Effect::Undated,
                 (Some(known), Some(told)) if told < known => self.beat_older(now, beat, fresh),
                 (Some(known), Some(told)) if told > known => self.begin(now, beat),
                 // Its heartbeats did not tell before, and are numbered anew: another start.
@@ -140,11 +140,11 @@
             };
         }
         if self.is_former(&beat.life, beat.born) {
-            return Heard::Late;
+            return Effect::Late;
         }
         if self.name.is_some() && self.is_alive(now, fresh) {
             self.claimant = Some(beat.clone());
-            return Heard::Doubtful;
+            return Effect::Conflicting;
         }
         self.begin(now, beat)
     }
@@ -157,9 +157,9 @@
     ///
     /// It is late, but for one case: the target's clock was put back between the two starts. Then the
     /// known one is silent, and this one goes on counting.
-    fn beat_older(&mut self, now: Instant, beat: &Beat, fresh: Duration) -> Heard {
+    fn beat_older(&mut self, now: Instant, beat: &Heartbeat, fresh: Duration) -> Effect {
         if self.is_alive(now, fresh) {
-            return Heard::Late;
+            return Effect::Late;
         }
         let before = self.claimant.replace(beat.clone());
         let goes_on = before.is_some_and(|before| {
@@ -167,7 +167,7 @@
         });
         match goes_on {
             true => self.begin(now, beat),
-            false => Heard::Late,
+            false => Effect::Late,
         }
     }
 
@@ -176,10 +176,10 @@
         lately && matches!(self.stage, Stage::Ready | Stage::Leaving)
     }
 
-    fn beat_again(&mut self, now: Instant, beat: &Beat) -> Heard {
+    fn beat_again(&mut self, now: Instant, beat: &Heartbeat) -> Effect {
         // A life that was learnt from an answer has had no heartbeat yet.
         if beat.sequence <= self.sequence && self.sequence > 0 {
-            return Heard::Late;
+            return Effect::Late;
         }
         self.born = self.born.or(beat.born);
         self.sequence = beat.sequence;
@@ -194,16 +194,16 @@
         self.stage = stage;
         self.slots = slots;
         match changed {
-            true => Heard::Changed,
-            false => Heard::Same,
+            true => Effect::Changed,
+            false => Effect::Unchanged,
         }
     }
 
     /// Takes the life of a heartbeat for the one at the address.
-    fn begin(&mut self, now: Instant, beat: &Beat) -> Heard {
+    fn begin(&mut self, now: Instant, beat: &Heartbeat) -> Effect {
         let heard = match self.name {
-            Some(_) => Heard::Began,
-            None => Heard::Changed,
+            Some(_) => Effect::Restarted,
+            None => Effect::Changed,
         };
         self.rename(&beat.life, beat.born);
         self.stage = match beat.ready {
@@ -230,7 +230,7 @@
 
     /// The life `name` that began at `born` has said that it leaves; true if it is the one at the
     /// address.
-    pub fn left(&mut self, name: &str, born: Option<Incarnation>) -> bool {
+    pub fn receive_leave(&mut self, name: &str, born: Option<Incarnation>) -> bool {
         if self.name.as_deref() == Some(name) {
             if born.is_some() && born < self.born {
                 return false;
@@ -266,7 +266,13 @@
     ///
     /// Of a life that no heartbeat has told of, its word is taken on whether it is well: a daemon
     /// that has started anew must not send to a target that leaves.
-    pub fn answered(&mut self, now: Instant, name: &str, well: bool, slots: Option<u16>) -> bool {
+    pub fn receive_health(
+        &mut self,
+        now: Instant,
+        name: &str,
+        well: bool,
+        slots: Option<u16>,
+    ) -> bool {
         let known = self.name.as_deref() == Some(name);
         if !known && self.is_former(name, None) {
             return false;
@@ -299,7 +305,7 @@
     }
 
     /// The target can't be reached; true if it was thought to be there.
-    pub fn lost(&mut self) -> bool {
+    pub fn mark_unreachable(&mut self) -> bool {
         let was = self.stage == Stage::Ready;
         if was {
             self.stage = Stage::Down;
--- a/crates/target/src/presence.rs
+++ b/crates/target/src/presence.rs
@@ -10,7 +10,7 @@
 use unit::Incarnation;
 
 use crate::connection::Connection;
-use crate::life::{Beat, Heard, Life, Stage};
+use crate::life::{Effect, Heartbeat, Life, Stage};
 use crate::server::Server;
 
 /// A life counts as alive for so many periods of its heartbeats.
@@ -18,13 +18,13 @@
 
 impl Server {
     /// Takes in a heartbeat of the target.
-    pub fn beat(&self, beat: &Beat) -> Heard {
+    pub fn receive_heartbeat(&self, beat: &Heartbeat) -> Effect {
         let now = Instant::now();
-        let period = self.announced.as_ref().map(|announced| announced.period);
+        let period = self.heartbeats.as_ref().map(|heartbeats| heartbeats.period);
         let fresh = period.unwrap_or(Duration::ZERO) * FRESH_PERIODS;
-        let heard = self.presence.lock().beat(now, beat, fresh);
+        let heard = self.presence.lock().receive_heartbeat(now, beat, fresh);
         match heard {
-            Heard::Changed => {
+            Effect::Changed => {
                 log::info!(
                     "target: life={} ready={} slots={} sequence={} cold_ms={}.",
                     beat.life,
@@ -38,7 +38,7 @@
                 }
                 self.apply();
             }
-            Heard::Began => {
+            Effect::Restarted => {
                 let born = beat.born.map_or("untold".into(), |born| born.to_string());
                 log::warn!(
                     "target: life={} born={born} has begun, ready={} slots={} sequence={} cold_ms={}.",
@@ -51,7 +51,7 @@
                 self.began();
                 self.apply();
             }
-            Heard::Unsigned => {
+            Effect::Undated => {
                 self.stats().malformed.inc();
                 log::warn!(
                     "target: a heartbeat of life={} sequence={} tells no start and is passed over.",
@@ -59,13 +59,13 @@
                     beat.sequence
                 );
             }
-            Heard::Same => {}
-            Heard::Late => log::info!(
+            Effect::Unchanged => {}
+            Effect::Late => log::info!(
                 "target: a heartbeat of life={} sequence={} came late and is passed over.",
                 beat.life,
                 beat.sequence
             ),
-            Heard::Doubtful => {
+            Effect::Conflicting => {
                 log::warn!(
                     "target: life={} announces itself beside another.",
                     beat.life
@@ -77,9 +77,9 @@
     }
 
     /// The life `name` of the target has said that it ends; `born` is when it began, if it tells.
-    pub fn left(&self, name: &str, born: Option<Incarnation>) {
+    pub fn receive_leave(&self, name: &str, born: Option<Incarnation>) {
         log::info!("target: life={name} leaves.");
-        if self.presence.lock().left(name, born) {
+        if self.presence.lock().receive_leave(name, born) {
             self.apply();
         }
     }
@@ -119,10 +119,10 @@
 
     /// The target can't be reached.
     pub(crate) fn lost(&self) {
-        if self.announced.is_none() {
+        if self.heartbeats.is_none() {
             return self.gate.target_down();
         }
-        if self.presence.lock().lost() {
+        if self.presence.lock().mark_unreachable() {
             log::warn!("target: it can't be reached.");
             self.apply();
         }
@@ -135,7 +135,7 @@
     /// request for one that crashes targets. So we look whether it still takes connections. Of one
     /// that doesn't announce itself we can't tell whether that is a new life, started at once.
     pub(crate) async fn crashed(&self) -> Option<End> {
-        if self.announced.is_none() {
+        if self.heartbeats.is_none() {
             return Some(End::Crashed);
         }
         match Connection::open(self.pool.target()).await {
@@ -180,7 +180,7 @@
         let (news, replaced) = {
             let mut life = self.presence.lock();
             let before = life.name.clone();
-            let news = life.answered(now, name, well, slots);
+            let news = life.receive_health(now, name, well, slots);
             (news, before.is_some() && before != life.name)
         };
         if news {
--- a/crates/target/src/server.rs
+++ b/crates/target/src/server.rs
@@ -19,7 +19,7 @@
 use crate::call::Work;
 use crate::life::Life;
 use crate::pool::Pool;
-use crate::{Announced, Builder, Stats};
+use crate::{Builder, Heartbeats, Stats};
 
 /// Longest time that one question after a token may wait for the call to end.
 const MAX_WAIT: Duration = Duration::from_secs(30);
@@ -30,11 +30,11 @@
     pub(crate) gate: Gate,
     pub(crate) nests: Table,
     pub(crate) max_depth: Depth,
-    pub(crate) body_idle: Duration,
+    pub(crate) idle_timeout: Duration,
     pub(crate) pool: Arc<Pool>,
     pub(crate) held: held::Table,
     pub(crate) dialect: Dialect,
-    pub(crate) announced: Option<Announced>,
+    pub(crate) heartbeats: Option<Heartbeats>,
     pub(crate) presence: Mutex<Life>,
     /// When the target last told its load.
     pub(crate) told: Mutex<Option<Instant>>,
@@ -64,13 +64,13 @@
 
     pub(crate) fn new(builder: Builder) -> Server {
         let slots = builder.gate.slots();
-        if builder.announced.is_some() {
+        if builder.heartbeats.is_some() {
             builder.gate.target_down();
         }
         Server {
             presence: Mutex::new(Life::unknown(Instant::now(), slots)),
             dialect: builder.dialect,
-            announced: builder.announced,
+            heartbeats: builder.heartbeats,
             told: Mutex::new(None),
             ask: Notify::new(),
             doubted: AtomicBool::new(false),
@@ -81,7 +81,7 @@
             gate: builder.gate,
             nests: builder.nests,
             max_depth: builder.max_depth,
-            body_idle: builder.body_idle,
+            idle_timeout: builder.idle_timeout,
             pool: Arc::new(Pool::new(builder.target)),
             held: builder.held,
             measure: Mutex::new(Measure::new(Setting::default().bytes)),
@@ -109,7 +109,7 @@
     }
 
     /// Sets the bytes per second that may be spent on reports of the load, as the rules say.
-    pub fn set_measuring(&self, bytes: Size) {
+    pub fn set_report_budget(&self, bytes: Size) {
         let mut measure = self.measure.lock();
         if measure.bytes != bytes {
             *measure = Measure::new(bytes);
@@ -117,7 +117,7 @@
     }
 
     /// What was spent on reports of the load since the budget was last set.
-    pub fn measured(&self) -> Spent {
+    pub fn report_spending(&self) -> Spent {
         self.measure.lock().budget.spent()
     }
 
--- a/crates/target/src/watch.rs
+++ b/crates/target/src/watch.rs
@@ -38,7 +38,7 @@
 
 /// Watches the target of `server` until it is dropped.
 pub async fn watch(server: Arc<Server>) {
-    match &server.announced {
+    match &server.heartbeats {
         Some(_) => ask(&server).await,
         None => connect(&server).await,
     }
@@ -88,7 +88,10 @@
         if !is_due(server) {
             continue;
         }
-        let health = server.announced.as_ref().and_then(|told| (told.health)());
+        let health = server
+            .heartbeats
+            .as_ref()
+            .and_then(|told| (told.health_path)());
         let Some(path) = health else {
             continue;
         };
--- a/crates/target/tests/life.rs
+++ b/crates/target/tests/life.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use target::{Beat, Heard, Life, Stage};
+use target::{Effect, Heartbeat, Life, Stage};
 use tokio::time::Instant;
 use unit::Incarnation;
 
 const FRESH: Duration = Duration::from_secs(3);
 
-fn beat(life: &str, sequence: u64, ready: bool) -> Beat {
-    Beat {
+fn beat(life: &str, sequence: u64, ready: bool) -> Heartbeat {
+    Heartbeat {
         life: life.to_string(),
         born: None,
         ready,
@@ -25,10 +25,22 @@
 fn late_heartbeat_does_not_undo_a_drain() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    assert_eq!(life.beat(now, &beat("a", 5, true), FRESH), Heard::Changed);
-    assert_eq!(life.beat(now, &beat("a", 6, false), FRESH), Heard::Changed);
-    assert_eq!(life.beat(now, &beat("a", 4, true), FRESH), Heard::Late);
-    assert_eq!(life.beat(now, &beat("a", 7, true), FRESH), Heard::Same);
+    assert_eq!(
+        life.receive_heartbeat(now, &beat("a", 5, true), FRESH),
+        Effect::Changed
+    );
+    assert_eq!(
+        life.receive_heartbeat(now, &beat("a", 6, false), FRESH),
+        Effect::Changed
+    );
+    assert_eq!(
+        life.receive_heartbeat(now, &beat("a", 4, true), FRESH),
+        Effect::Late
+    );
+    assert_eq!(
+        life.receive_heartbeat(now, &beat("a", 7, true), FRESH),
+        Effect::Unchanged
+    );
     assert_eq!(life.stage, Stage::Leaving);
 }
 
@@ -38,10 +50,16 @@
 fn former_life_is_not_brought_back() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.beat(now, &beat("a", 5, true), FRESH);
+    life.receive_heartbeat(now, &beat("a", 5, true), FRESH);
     let later = now + FRESH * 2;
-    assert_eq!(life.beat(later, &beat("b", 1, true), FRESH), Heard::Began);
-    assert_eq!(life.beat(later, &beat("a", 6, true), FRESH), Heard::Late);
+    assert_eq!(
+        life.receive_heartbeat(later, &beat("b", 1, true), FRESH),
+        Effect::Restarted
+    );
+    assert_eq!(
+        life.receive_heartbeat(later, &beat("a", 6, true), FRESH),
+        Effect::Late
+    );
     assert_eq!(life.name.as_deref(), Some("b"));
 }
 
@@ -52,10 +70,13 @@
     let now = Instant::now();
     for truth in ["a", "b"] {
         let mut life = Life::unknown(now, 1);
-        life.beat(now, &beat("b", 1, true), FRESH);
-        assert_eq!(life.beat(now, &beat("a", 9, true), FRESH), Heard::Doubtful);
+        life.receive_heartbeat(now, &beat("b", 1, true), FRESH);
+        assert_eq!(
+            life.receive_heartbeat(now, &beat("a", 9, true), FRESH),
+            Effect::Conflicting
+        );
         assert_eq!(life.name.as_deref(), Some("b"));
-        life.answered(now, truth, true, None);
+        life.receive_health(now, truth, true, None);
         assert_eq!(life.name.as_deref(), Some(truth));
         assert_eq!(life.stage, Stage::Ready);
     }
@@ -67,9 +88,9 @@
 fn unknown_target_that_is_not_well_gets_nothing() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    assert!(!life.answered(now, "a", false, Some(8)));
+    assert!(!life.receive_health(now, "a", false, Some(8)));
     assert_eq!(life.stage, Stage::Unknown);
-    assert!(life.answered(now, "a", true, Some(8)));
+    assert!(life.receive_health(now, "a", true, Some(8)));
     assert_eq!((life.stage, life.slots), (Stage::Ready, 8));
 }
 
@@ -78,14 +99,14 @@
 fn life_that_has_left_stays_away() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.left("a", None);
-    assert!(!life.answered(now, "a", true, None));
-    life.beat(now, &beat("a", 3, true), FRESH);
+    life.receive_leave("a", None);
+    assert!(!life.receive_health(now, "a", true, None));
+    life.receive_heartbeat(now, &beat("a", 3, true), FRESH);
     assert!(life.is_leaving());
     let mut other = Life::unknown(now, 1);
-    other.beat(now, &beat("b", 1, true), FRESH);
+    other.receive_heartbeat(now, &beat("b", 1, true), FRESH);
     assert!(
-        !other.left("a", None),
+        !other.receive_leave("a", None),
         "a former life's leave is none of b's"
     );
     assert_eq!(other.stage, Stage::Ready);
@@ -97,16 +118,16 @@
 fn a_lie_about_health_changes_nothing() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.beat(now, &beat("a", 1, true), FRESH);
-    assert!(!life.answered(now, "a", false, None));
+    life.receive_heartbeat(now, &beat("a", 1, true), FRESH);
+    assert!(!life.receive_health(now, "a", false, None));
     assert_eq!(life.stage, Stage::Ready);
-    assert!(life.lost());
+    assert!(life.mark_unreachable());
     assert_eq!(life.stage, Stage::Down);
-    assert!(life.answered(now, "a", true, None), "it is back");
+    assert!(life.receive_health(now, "a", true, None), "it is back");
 }
 
-fn born(life: &str, born: u64, sequence: u64, ready: bool) -> Beat {
-    Beat {
+fn born(life: &str, born: u64, sequence: u64, ready: bool) -> Heartbeat {
+    Heartbeat {
         born: Some(Incarnation(born)),
         ..beat(life, sequence, ready)
     }
@@ -119,18 +140,18 @@
 fn a_start_under_the_same_name_begins_anew() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.beat(now, &born("a", 1_000, 40, true), FRESH);
-    assert!(life.lost());
+    life.receive_heartbeat(now, &born("a", 1_000, 40, true), FRESH);
+    assert!(life.mark_unreachable());
     assert_eq!(
-        life.beat(now, &born("a", 2_000, 1, true), FRESH),
-        Heard::Began
+        life.receive_heartbeat(now, &born("a", 2_000, 1, true), FRESH),
+        Effect::Restarted
     );
     assert_eq!((life.stage, life.sequence), (Stage::Ready, 1));
-    let more = Beat {
+    let more = Heartbeat {
         slots: 3,
         ..born("a", 2_000, 2, true)
     };
-    assert_eq!(life.beat(now, &more, FRESH), Heard::Changed);
+    assert_eq!(life.receive_heartbeat(now, &more, FRESH), Effect::Changed);
     assert_eq!(life.slots, 3);
 }
 
@@ -140,20 +161,20 @@
 fn a_start_is_not_bound_by_the_leave_of_the_one_before() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.beat(now, &born("a", 1_000, 40, false), FRESH);
+    life.receive_heartbeat(now, &born("a", 1_000, 40, false), FRESH);
     assert!(life.is_leaving());
-    life.beat(now, &born("a", 2_000, 1, true), FRESH);
+    life.receive_heartbeat(now, &born("a", 2_000, 1, true), FRESH);
     assert_eq!(life.stage, Stage::Ready);
     // The leave of the start before was held up, and comes now.
-    assert!(!life.left("a", Some(Incarnation(1_000))));
+    assert!(!life.receive_leave("a", Some(Incarnation(1_000))));
     assert_eq!(life.stage, Stage::Ready);
-    assert!(life.left("a", Some(Incarnation(2_000))));
+    assert!(life.receive_leave("a", Some(Incarnation(2_000))));
     assert!(life.is_leaving());
     // One that has started and leaves before it was heard.
-    assert!(life.left("a", Some(Incarnation(3_000))));
+    assert!(life.receive_leave("a", Some(Incarnation(3_000))));
     assert_eq!(
-        life.beat(now, &born("a", 2_000, 9, true), FRESH),
-        Heard::Late
+        life.receive_heartbeat(now, &born("a", 2_000, 9, true), FRESH),
+        Effect::Late
     );
     assert!(life.is_leaving());
 }
@@ -164,10 +185,10 @@
 fn a_late_heartbeat_of_the_start_before_changes_nothing() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.beat(now, &born("a", 2_000, 3, true), FRESH);
+    life.receive_heartbeat(now, &born("a", 2_000, 3, true), FRESH);
     for (sequence, ready) in [(2, true), (90, true), (91, false)] {
         let late = born("a", 1_000, sequence, ready);
-        assert_eq!(life.beat(now, &late, FRESH), Heard::Late);
+        assert_eq!(life.receive_heartbeat(now, &late, FRESH), Effect::Late);
         assert_eq!((life.stage, life.sequence), (Stage::Ready, 3));
     }
 }
@@ -178,12 +199,18 @@
 fn a_heartbeat_without_its_start_is_none_of_a_target_that_tells_it() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.beat(now, &born("a", 2_000, 3, true), FRESH);
-    assert_eq!(life.beat(now, &beat("a", 4, false), FRESH), Heard::Unsigned);
+    life.receive_heartbeat(now, &born("a", 2_000, 3, true), FRESH);
+    assert_eq!(
+        life.receive_heartbeat(now, &beat("a", 4, false), FRESH),
+        Effect::Undated
+    );
     assert_eq!((life.stage, life.sequence), (Stage::Ready, 3));
     let mut quiet = Life::unknown(now, 1);
-    quiet.beat(now, &beat("a", 3, true), FRESH);
-    assert_eq!(quiet.beat(now, &beat("a", 4, false), FRESH), Heard::Changed);
+    quiet.receive_heartbeat(now, &beat("a", 3, true), FRESH);
+    assert_eq!(
+        quiet.receive_heartbeat(now, &beat("a", 4, false), FRESH),
+        Effect::Changed
+    );
     assert!(quiet.is_leaving());
 }
 
@@ -194,23 +221,23 @@
 fn a_start_with_its_clock_put_back_is_believed_when_it_goes_on() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.beat(now, &born("a", 9_000, 40, true), FRESH);
+    life.receive_heartbeat(now, &born("a", 9_000, 40, true), FRESH);
     assert_eq!(
-        life.beat(now, &born("a", 5_000, 1, true), FRESH),
-        Heard::Late
+        life.receive_heartbeat(now, &born("a", 5_000, 1, true), FRESH),
+        Effect::Late
     );
     let later = now + FRESH * 2;
     assert_eq!(
-        life.beat(later, &born("a", 5_000, 3, true), FRESH),
-        Heard::Late
+        life.receive_heartbeat(later, &born("a", 5_000, 3, true), FRESH),
+        Effect::Late
     );
     assert_eq!(
-        life.beat(later, &born("a", 5_000, 3, true), FRESH),
-        Heard::Late
+        life.receive_heartbeat(later, &born("a", 5_000, 3, true), FRESH),
+        Effect::Late
     );
     assert_eq!(
-        life.beat(later, &born("a", 5_000, 4, true), FRESH),
-        Heard::Began
+        life.receive_heartbeat(later, &born("a", 5_000, 4, true), FRESH),
+        Effect::Restarted
     );
     assert_eq!(life.sequence, 4);
 }
