--- a/crates/target/src/life.rs
+++ b/crates/target/src/life.rs
@@ -1,13 +1,14 @@
-//! Which life of the target stands at its address, as its heartbeats and answers tell.
+//! Tracks which life of the target serves at its address, from its heartbeats and answers.
 //!
-//! Heartbeats may come late: one that was held up on its way may arrive when its sender has crashed
-//! and another life has announced itself, and must not bring the former one back. A target that
-//! has said that it leaves gets no new work, whatever comes late.
+//! A life is one run of the target, from its start to its end. Heartbeats may be delayed: one may
+//! arrive after its sender has crashed and another life has announced itself, and must not make the
+//! former life current again. A target that has announced that it leaves gets no new work, whatever
+//! arrives late.
 //!
-//! A target may also start again under the name that it had. It then knows nothing of before and its
-//! heartbeats are numbered anew, so that a name alone would make each of them look late until the
-//! numbers have caught up, and a drain of the start before would last for ever. What tells the starts
-//! apart is when they began.
+//! A target may also restart under the same name. It then has no memory of its former run, and its
+//! heartbeats are numbered from the beginning. By name alone each of them would look late until the
+//! numbers had caught up, and a drain of the former run would last for ever. Start times tell the
+//! runs apart.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,87 +17,88 @@
 use tokio::time::Instant;
 use unit::Incarnation;
 
-/// Former lives that are remembered, so that their late heartbeats change nothing.
-const FORMER: usize = 32;
+/// Number of former lives that are remembered, so that their late heartbeats are ignored.
+const MAX_FORMER: usize = 32;
 
-/// What one heartbeat says.
+/// A heartbeat of the target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// The life of the target.
+    /// The name of the life that sent it.
     pub life: String,
-    /// When that life began, by the target's own clock; `None` where it doesn't tell.
+    /// When that life started, by the target's clock; `None` if the heartbeat doesn't say.
     pub born: Option<Incarnation>,
-    /// Whether it takes new work.
+    /// Whether the target accepts new requests.
     pub ready: bool,
-    /// Requests that it runs at once at most.
+    /// Maximum number of requests that the target runs at once.
     pub slots: u16,
-    /// How much longer it is slow after its start.
+    /// How much longer the target is slow after its start.
     pub cold: Duration,
-    /// Rises with each heartbeat of one life.
+    /// Increases with each heartbeat of one life.
     pub sequence: u64,
 }
 
-/// Where a target is in its life.
+/// The stage of the target's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, derive_more::Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
-    /// Nothing is known of any life.
+    /// No life is known.
     #[display("unknown")]
     Unknown,
-    /// It takes work.
+    /// It accepts requests.
     #[display("ready")]
     Ready,
-    /// It finishes what runs.
+    /// It accepts no new requests and finishes the running ones.
     #[display("leaving")]
     Leaving,
-    /// It answers no more.
+    /// It can't be reached.
     #[display("down")]
     Down,
 }
 
-/// What a heartbeat changes.
+/// The effect of a heartbeat on what is known of the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Something that the gate has to be told.
+    /// The stage or the number of slots changed; the gate must be notified.
     Changed,
-    /// The target has started anew; what was known of the start before is worth nothing.
+    /// The target has restarted; what was known of its former run no longer applies.
     Restarted,
-    /// Nothing.
+    /// The heartbeat changed nothing that the gate depends on.
     Unchanged,
-    /// It came late, and is passed over.
+    /// The heartbeat arrived late and was ignored.
     Late,
-    /// It doesn't say when its life began, though that life has said so before: another writer's.
+    /// The heartbeat has no start time, although earlier ones of the same life had one. It comes from
+    /// another sender and was ignored.
     Undated,
-    /// It names another life, while the known one was heard a moment ago: the target itself has to
-    /// be asked which of them it is.
+    /// The heartbeat names another life although the known one sent a heartbeat a moment ago. Only
+    /// the target itself can tell which of the two is current.
     Conflicting,
 }
 
-/// The life at the target's address.
+/// What is known of the life at the target's address.
 #[derive(Debug, Clone, Serialize)]
 pub struct Life {
-    /// Its name.
+    /// Its name, if a life is known.
     pub name: Option<String>,
-    /// When it began, where it tells.
+    /// When it started, by the target's clock, if it says so.
     pub born: Option<Incarnation>,
-    /// Where it is.
+    /// Its stage.
     pub stage: Stage,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u16,
-    /// The last heartbeat's number.
+    /// The sequence number of its last heartbeat; 0 before the first one.
     pub sequence: u64,
-    /// When it is as quick as usual.
+    /// When it stops being slow after its start.
     #[serde(skip)]
-    pub warm: Instant,
+    pub warm_at: Instant,
     #[serde(skip)]
-    heard: Option<Instant>,
+    last_seen: Option<Instant>,
     former: VecDeque<Former>,
-    /// A life that has announced itself while another was known.
+    /// The last heartbeat of a life that announced itself while another one was known.
     #[serde(skip)]
     claimant: Option<Heartbeat>,
 }
 
-/// A life that was at the address before.
+/// A life that served at the address before.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 struct Former {
     name: String,
@@ -104,7 +106,8 @@
 }
 
 impl Former {
-    /// Whether a word of a life `name` that began at `born` is of this one, or of one before it.
+    /// Whether a message of a life called `name` that started at `born` comes from this life, or from
+    /// an earlier one of the same name.
     fn covers(&self, name: &str, born: Option<Incarnation>) -> bool {
         let later = born.is_some() && born > self.born;
         self.name == name && !later
@@ -112,7 +115,7 @@
 }
 
 impl Life {
-    /// Nothing is known; `slots` are assumed until a heartbeat or an answer tells.
+    /// Starts with no known life; `slots` applies until a heartbeat or an answer gives the number.
     pub fn unknown(now: Instant, slots: u16) -> Life {
         Life {
             name: None,
@@ -120,76 +123,90 @@
             stage: Stage::Unknown,
             slots,
             sequence: 0,
-            warm: now,
-            heard: None,
+            warm_at: now,
+            last_seen: None,
             former: VecDeque::new(),
             claimant: None,
         }
     }
 
-    /// Takes in a heartbeat; one known life counts as alive for `fresh` after its last.
-    pub fn receive_heartbeat(&mut self, now: Instant, beat: &Heartbeat, fresh: Duration) -> Effect {
-        if self.name.as_deref() == Some(&beat.life) {
-            return match (self.born, beat.born) {
+    /// Processes a heartbeat. The known life counts as alive for `alive_for` after its last heartbeat.
+    pub fn receive_heartbeat(
+        &mut self,
+        now: Instant,
+        heartbeat: &Heartbeat,
+        alive_for: Duration,
+    ) -> Effect {
+        if self.name.as_deref() == Some(&heartbeat.life) {
+            return match (self.born, heartbeat.born) {
                 (Some(_), None) => Effect::Undated,
-                (Some(known), Some(told)) if told < known => self.beat_older(now, beat, fresh),
-                (Some(known), Some(told)) if told > known => self.begin(now, beat),
-                // Its heartbeats did not tell before, and are numbered anew: another start.
-                (None, Some(_)) if beat.sequence < self.sequence => self.begin(now, beat),
-                _ => self.beat_again(now, beat),
+                (Some(known), Some(born)) if born < known => {
+                    self.receive_older(now, heartbeat, alive_for)
+                }
+                (Some(known), Some(born)) if born > known => self.begin(now, heartbeat),
+                // The first heartbeat with a start time, and the numbers began again: a restart.
+                (None, Some(_)) if heartbeat.sequence < self.sequence => self.begin(now, heartbeat),
+                _ => self.receive_current(now, heartbeat),
             };
         }
-        if self.is_former(&beat.life, beat.born) {
+        if self.is_former(&heartbeat.life, heartbeat.born) {
             return Effect::Late;
         }
-        if self.name.is_some() && self.is_alive(now, fresh) {
-            self.claimant = Some(beat.clone());
+        if self.name.is_some() && self.is_alive(now, alive_for) {
+            self.claimant = Some(heartbeat.clone());
             return Effect::Conflicting;
         }
-        self.begin(now, beat)
+        self.begin(now, heartbeat)
     }
 
     fn is_former(&self, name: &str, born: Option<Incarnation>) -> bool {
         self.former.iter().any(|former| former.covers(name, born))
     }
 
-    /// Takes in a heartbeat of a start that began before the known one.
+    /// Processes a heartbeat whose start time is before the known one.
     ///
-    /// It is late, but for one case: the target's clock was put back between the two starts. Then the
-    /// known one is silent, and this one goes on counting.
-    fn beat_older(&mut self, now: Instant, beat: &Heartbeat, fresh: Duration) -> Effect {
-        if self.is_alive(now, fresh) {
+    /// It is late, except if the target's clock was set back before a restart. Then the known run is
+    /// silent, and the sequence numbers of this one increase.
+    fn receive_older(
+        &mut self,
+        now: Instant,
+        heartbeat: &Heartbeat,
+        alive_for: Duration,
+    ) -> Effect {
+        if self.is_alive(now, alive_for) {
             return Effect::Late;
         }
-        let before = self.claimant.replace(beat.clone());
-        let goes_on = before.is_some_and(|before| {
-            before.life == beat.life && before.born == beat.born && before.sequence < beat.sequence
+        let before = self.claimant.replace(heartbeat.clone());
+        let continues = before.is_some_and(|before| {
+            before.life == heartbeat.life
+                && before.born == heartbeat.born
+                && before.sequence < heartbeat.sequence
         });
-        match goes_on {
-            true => self.begin(now, beat),
+        match continues {
+            true => self.begin(now, heartbeat),
             false => Effect::Late,
         }
     }
 
-    fn is_alive(&self, now: Instant, fresh: Duration) -> bool {
-        let lately = self.heard.is_some_and(|at| now - at < fresh);
-        lately && matches!(self.stage, Stage::Ready | Stage::Leaving)
+    fn is_alive(&self, now: Instant, alive_for: Duration) -> bool {
+        let recent = self.last_seen.is_some_and(|at| now - at < alive_for);
+        recent && matches!(self.stage, Stage::Ready | Stage::Leaving)
     }
 
-    fn beat_again(&mut self, now: Instant, beat: &Heartbeat) -> Effect {
-        // A life that was learnt from an answer has had no heartbeat yet.
-        if beat.sequence <= self.sequence && self.sequence > 0 {
+    fn receive_current(&mut self, now: Instant, heartbeat: &Heartbeat) -> Effect {
+        // Sequence 0: the life is known from an answer, and this is its first heartbeat.
+        if heartbeat.sequence <= self.sequence && self.sequence > 0 {
             return Effect::Late;
         }
-        self.born = self.born.or(beat.born);
-        self.sequence = beat.sequence;
-        self.heard = Some(now);
-        self.warm = now + beat.cold;
-        let stage = match (self.stage, beat.ready) {
+        self.born = self.born.or(heartbeat.born);
+        self.sequence = heartbeat.sequence;
+        self.last_seen = Some(now);
+        self.warm_at = now + heartbeat.cold;
+        let stage = match (self.stage, heartbeat.ready) {
             (Stage::Leaving, _) | (_, false) => Stage::Leaving,
             (_, true) => Stage::Ready,
         };
-        let slots = beat.slots.max(1);
+        let slots = heartbeat.slots.max(1);
         let changed = stage != self.stage || slots != self.slots;
         self.stage = stage;
         self.slots = slots;
@@ -199,78 +216,79 @@
         }
     }
 
-    /// Takes the life of a heartbeat for the one at the address.
-    fn begin(&mut self, now: Instant, beat: &Heartbeat) -> Effect {
-        let heard = match self.name {
+    /// Makes the life of a heartbeat the current one.
+    fn begin(&mut self, now: Instant, heartbeat: &Heartbeat) -> Effect {
+        let effect = match self.name {
             Some(_) => Effect::Restarted,
             None => Effect::Changed,
         };
-        self.rename(&beat.life, beat.born);
-        self.stage = match beat.ready {
+        self.replace(&heartbeat.life, heartbeat.born);
+        self.stage = match heartbeat.ready {
             true => Stage::Ready,
             false => Stage::Leaving,
         };
-        self.sequence = beat.sequence;
-        self.heard = Some(now);
-        self.slots = beat.slots.max(1);
-        self.warm = now + beat.cold;
-        heard
+        self.sequence = heartbeat.sequence;
+        self.last_seen = Some(now);
+        self.slots = heartbeat.slots.max(1);
+        self.warm_at = now + heartbeat.cold;
+        effect
     }
 
-    fn rename(&mut self, name: &str, born: Option<Incarnation>) {
+    fn replace(&mut self, name: &str, born: Option<Incarnation>) {
         if let Some(old) = self.name.replace(name.to_string()) {
-            self.forget(old, self.born);
+            self.add_former(old, self.born);
         }
         self.born = born;
-        // A start whose clock was put back is a former one no more.
+        // If the clock was set back, remembered lives may cover the new one; they are removed.
         self.former.retain(|former| !former.covers(name, born));
         self.claimant = None;
         self.sequence = 0;
     }
 
-    /// The life `name` that began at `born` has said that it leaves; true if it is the one at the
-    /// address.
+    /// Records that the life `name` that started at `born` has announced that it leaves. Returns true
+    /// if it is the current life.
     pub fn receive_leave(&mut self, name: &str, born: Option<Incarnation>) -> bool {
         if self.name.as_deref() == Some(name) {
             if born.is_some() && born < self.born {
                 return false;
             }
             if born > self.born {
-                // It has started again, and leaves before a heartbeat of it was heard.
-                self.rename(name, born);
+                // It has restarted, and leaves before its first heartbeat has arrived.
+                self.replace(name, born);
             }
             self.stage = Stage::Leaving;
             return true;
         }
         if self.name.is_none() {
-            // It must not be taken for a new one when the target is asked.
+            // An answer of the leaving target must not make it a new life.
             self.name = Some(name.to_string());
             self.born = born;
             self.stage = Stage::Leaving;
             return true;
         }
         if !self.is_former(name, born) {
-            self.forget(name.to_string(), born);
+            self.add_former(name.to_string(), born);
         }
         false
     }
 
-    fn forget(&mut self, name: String, born: Option<Incarnation>) {
+    fn add_former(&mut self, name: String, born: Option<Incarnation>) {
         self.former.push_back(Former { name, born });
-        if self.former.len() > FORMER {
+        if self.former.len() > MAX_FORMER {
             self.former.pop_front();
         }
     }
 
-    /// The target itself has answered as the life `name`; true if that is news.
+    /// Records that the target has answered a health check as the life `name`. Returns true if that
+    /// changes what is known.
     ///
-    /// Of a life that no heartbeat has told of, its word is taken on whether it is well: a daemon
-    /// that has started anew must not send to a target that leaves.
+    /// If the life is known from no heartbeat, it becomes current only if it reports that it is healthy:
+    /// a daemon that has just started must not send requests to a target that leaves.
     pub fn receive_health(
         &mut self,
         now: Instant,
         name: &str,
-        well: bool,
+        healthy: bool,
         slots: Option<u16>,
     ) -> bool {
         let known = self.name.as_deref() == Some(name);
@@ -278,42 +296,51 @@
             return false;
         }
         match (known, self.stage) {
-            // What it says of its health may be false; heartbeats and answers tell.
+            // The reported health may be wrong; heartbeats and answers decide.
             (true, Stage::Leaving | Stage::Ready) => false,
-            (true, Stage::Unknown | Stage::Down) if !well => false,
+            (true, Stage::Unknown | Stage::Down) if !healthy => false,
             (true, Stage::Unknown | Stage::Down) => {
                 self.stage = Stage::Ready;
                 true
             }
-            (false, _) => self.succeeded(now, name, well, slots),
+            (false, _) => self.receive_health_of_other(now, name, healthy, slots),
         }
     }
 
-    fn succeeded(&mut self, now: Instant, name: &str, well: bool, slots: Option<u16>) -> bool {
-        let claim = self.claimant.take().filter(|claim| claim.life == name);
-        if let Some(beat) = claim {
-            self.begin(now, &beat);
+    fn receive_health_of_other(
+        &mut self,
+        now: Instant,
+        name: &str,
+        healthy: bool,
+        slots: Option<u16>,
+    ) -> bool {
+        let claimant = self
+            .claimant
+            .take()
+            .filter(|heartbeat| heartbeat.life == name);
+        if let Some(heartbeat) = claimant {
+            self.begin(now, &heartbeat);
             return true;
         }
-        if !well {
+        if !healthy {
             return false;
         }
-        self.rename(name, None);
+        self.replace(name, None);
         self.stage = Stage::Ready;
         self.slots = slots.unwrap_or(self.slots).max(1);
         true
     }
 
-    /// The target can't be reached; true if it was thought to be there.
+    /// Records that the target can't be reached. Returns true if it was ready before.
     pub fn mark_unreachable(&mut self) -> bool {
-        let was = self.stage == Stage::Ready;
-        if was {
+        let was_ready = self.stage == Stage::Ready;
+        if was_ready {
             self.stage = Stage::Down;
         }
-        was
+        was_ready
     }
 
-    /// Whether it has announced that it leaves.
+    /// Whether the target has announced that it leaves.
     pub fn is_leaving(&self) -> bool {
         self.stage == Stage::Leaving
     }
--- a/crates/target/tests/life.rs
+++ b/crates/target/tests/life.rs
@@ -1,4 +1,4 @@
-//! Which life of a target counts, as heartbeats come late, twice, or from the wrong one.
+//! Tests which life of a target is current after late, repeated and conflicting heartbeats.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use tokio::time::Instant;
 use unit::Incarnation;
 
-const FRESH: Duration = Duration::from_secs(3);
+const ALIVE_FOR: Duration = Duration::from_secs(3);
 
-fn beat(life: &str, sequence: u64, ready: bool) -> Heartbeat {
+fn heartbeat(life: &str, sequence: u64, ready: bool) -> Heartbeat {
     Heartbeat {
         life: life.to_string(),
         born: None,
@@ -19,60 +19,60 @@
     }
 }
 
-/// A target says that it drains, and a heartbeat from before comes late. It must not be taken for
-/// ready again: the acknowledgement of the drain binds.
+/// A target announces that it drains, and a heartbeat sent before that arrives late. The target must
+/// not become ready again: the drain was acknowledged.
 #[test]
 fn late_heartbeat_does_not_undo_a_drain() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
     assert_eq!(
-        life.receive_heartbeat(now, &beat("a", 5, true), FRESH),
+        life.receive_heartbeat(now, &heartbeat("a", 5, true), ALIVE_FOR),
         Effect::Changed
     );
     assert_eq!(
-        life.receive_heartbeat(now, &beat("a", 6, false), FRESH),
+        life.receive_heartbeat(now, &heartbeat("a", 6, false), ALIVE_FOR),
         Effect::Changed
     );
     assert_eq!(
-        life.receive_heartbeat(now, &beat("a", 4, true), FRESH),
+        life.receive_heartbeat(now, &heartbeat("a", 4, true), ALIVE_FOR),
         Effect::Late
     );
     assert_eq!(
-        life.receive_heartbeat(now, &beat("a", 7, true), FRESH),
+        life.receive_heartbeat(now, &heartbeat("a", 7, true), ALIVE_FOR),
         Effect::Unchanged
     );
     assert_eq!(life.stage, Stage::Leaving);
 }
 
-/// A target crashes behind a partition, another life registers at its address, and then a heartbeat
-/// of the former life arrives.
+/// A target crashes behind a partition, another life registers at its address, and then a delayed
+/// heartbeat of the former life arrives. It must not make the former life current again.
 #[test]
-fn former_life_is_not_brought_back() {
+fn former_life_does_not_become_current_again() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.receive_heartbeat(now, &beat("a", 5, true), FRESH);
-    let later = now + FRESH * 2;
+    life.receive_heartbeat(now, &heartbeat("a", 5, true), ALIVE_FOR);
+    let later = now + ALIVE_FOR * 2;
     assert_eq!(
-        life.receive_heartbeat(later, &beat("b", 1, true), FRESH),
+        life.receive_heartbeat(later, &heartbeat("b", 1, true), ALIVE_FOR),
         Effect::Restarted
     );
     assert_eq!(
-        life.receive_heartbeat(later, &beat("a", 6, true), FRESH),
+        life.receive_heartbeat(later, &heartbeat("a", 6, true), ALIVE_FOR),
         Effect::Late
     );
     assert_eq!(life.name.as_deref(), Some("b"));
 }
 
-/// The daemon has started anew and has heard one life; a heartbeat names another. Which of them comes
-/// late can't be told from the heartbeats, so the target itself is asked.
+/// The daemon has just started and received a heartbeat of one life, and the next heartbeat names
+/// another. Heartbeats can't tell which of them is late, so the target's own answer decides.
 #[test]
-fn two_lives_at_once_are_settled_by_the_target_itself() {
+fn conflicting_lives_are_resolved_by_the_target() {
     let now = Instant::now();
     for truth in ["a", "b"] {
         let mut life = Life::unknown(now, 1);
-        life.receive_heartbeat(now, &beat("b", 1, true), FRESH);
+        life.receive_heartbeat(now, &heartbeat("b", 1, true), ALIVE_FOR);
         assert_eq!(
-            life.receive_heartbeat(now, &beat("a", 9, true), FRESH),
+            life.receive_heartbeat(now, &heartbeat("a", 9, true), ALIVE_FOR),
             Effect::Conflicting
         );
         assert_eq!(life.name.as_deref(), Some("b"));
@@ -82,10 +82,10 @@
     }
 }
 
-/// A daemon starts beside a target that leaves. The target says that it is not well; a target of
-/// which nothing else is known gets no work then.
+/// A daemon starts beside a target that leaves and answers health checks with a failure. If nothing
+/// else is known of a target, it gets no requests then.
 #[test]
-fn unknown_target_that_is_not_well_gets_nothing() {
+fn unknown_unhealthy_target_gets_no_requests() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
     assert!(!life.receive_health(now, "a", false, Some(8)));
@@ -94,149 +94,156 @@
     assert_eq!((life.stage, life.slots), (Stage::Ready, 8));
 }
 
-/// A life that has said that it ends is not taken for a new one when it answers for a moment more.
+/// A life that has announced its end goes on answering for a moment. It must not be taken for a new
+/// life.
 #[test]
-fn life_that_has_left_stays_away() {
+fn leaving_life_does_not_become_ready() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
     life.receive_leave("a", None);
     assert!(!life.receive_health(now, "a", true, None));
-    life.receive_heartbeat(now, &beat("a", 3, true), FRESH);
+    life.receive_heartbeat(now, &heartbeat("a", 3, true), ALIVE_FOR);
     assert!(life.is_leaving());
     let mut other = Life::unknown(now, 1);
-    other.receive_heartbeat(now, &beat("b", 1, true), FRESH);
+    other.receive_heartbeat(now, &heartbeat("b", 1, true), ALIVE_FOR);
     assert!(
         !other.receive_leave("a", None),
-        "a former life's leave is none of b's"
+        "the leave of a former life must not affect b"
     );
     assert_eq!(other.stage, Stage::Ready);
 }
 
-/// What the target says of its health may be false either way. Of one that announces itself only
-/// heartbeats, leaves and lost connections count.
+/// A health check may be wrong either way. For a target that sends heartbeats, only heartbeats,
+/// leaves and lost connections take it out of service.
 #[test]
-fn a_lie_about_health_changes_nothing() {
+fn wrong_health_answer_does_not_take_target_down() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.receive_heartbeat(now, &beat("a", 1, true), FRESH);
+    life.receive_heartbeat(now, &heartbeat("a", 1, true), ALIVE_FOR);
     assert!(!life.receive_health(now, "a", false, None));
     assert_eq!(life.stage, Stage::Ready);
     assert!(life.mark_unreachable());
     assert_eq!(life.stage, Stage::Down);
-    assert!(life.receive_health(now, "a", true, None), "it is back");
+    assert!(
+        life.receive_health(now, "a", true, None),
+        "it answers again"
+    );
 }
 
-fn born(life: &str, born: u64, sequence: u64, ready: bool) -> Heartbeat {
+fn dated(life: &str, born: u64, sequence: u64, ready: bool) -> Heartbeat {
     Heartbeat {
         born: Some(Incarnation(born)),
-        ..beat(life, sequence, ready)
+        ..heartbeat(life, sequence, ready)
     }
 }
 
-/// The target has crashed and started again under the same name. Its heartbeats are numbered from one,
-/// and looked late until they had passed the number of the start before: for as long as that had lived,
-/// a target that was well got no work.
+/// The target crashes and restarts under the same name, and its heartbeats are numbered from one.
+/// If they counted as late until they passed the last number of the former run, a healthy target
+/// would get no requests for as long as that run had lasted.
 #[test]
-fn a_start_under_the_same_name_begins_anew() {
+fn restart_under_the_same_name_is_recognized() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.receive_heartbeat(now, &born("a", 1_000, 40, true), FRESH);
+    life.receive_heartbeat(now, &dated("a", 1_000, 40, true), ALIVE_FOR);
     assert!(life.mark_unreachable());
     assert_eq!(
-        life.receive_heartbeat(now, &born("a", 2_000, 1, true), FRESH),
+        life.receive_heartbeat(now, &dated("a", 2_000, 1, true), ALIVE_FOR),
         Effect::Restarted
     );
     assert_eq!((life.stage, life.sequence), (Stage::Ready, 1));
     let more = Heartbeat {
         slots: 3,
-        ..born("a", 2_000, 2, true)
+        ..dated("a", 2_000, 2, true)
     };
-    assert_eq!(life.receive_heartbeat(now, &more, FRESH), Effect::Changed);
+    assert_eq!(
+        life.receive_heartbeat(now, &more, ALIVE_FOR),
+        Effect::Changed
+    );
     assert_eq!(life.slots, 3);
 }
 
-/// The target had said that it leaves, and starts again instead. What it said binds for the start that
-/// said it, and is none of the new one's.
+/// The target announces that it leaves, and then restarts under the same name. The announcement
+/// applies only to the run that made it.
 #[test]
-fn a_start_is_not_bound_by_the_leave_of_the_one_before() {
+fn restart_is_not_affected_by_leave_of_former_run() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.receive_heartbeat(now, &born("a", 1_000, 40, false), FRESH);
+    life.receive_heartbeat(now, &dated("a", 1_000, 40, false), ALIVE_FOR);
     assert!(life.is_leaving());
-    life.receive_heartbeat(now, &born("a", 2_000, 1, true), FRESH);
+    life.receive_heartbeat(now, &dated("a", 2_000, 1, true), ALIVE_FOR);
     assert_eq!(life.stage, Stage::Ready);
-    // The leave of the start before was held up, and comes now.
+    // The leave of the former run was delayed and arrives now.
     assert!(!life.receive_leave("a", Some(Incarnation(1_000))));
     assert_eq!(life.stage, Stage::Ready);
     assert!(life.receive_leave("a", Some(Incarnation(2_000))));
     assert!(life.is_leaving());
-    // One that has started and leaves before it was heard.
+    // A run that leaves before its first heartbeat arrives.
     assert!(life.receive_leave("a", Some(Incarnation(3_000))));
     assert_eq!(
-        life.receive_heartbeat(now, &born("a", 2_000, 9, true), FRESH),
+        life.receive_heartbeat(now, &dated("a", 2_000, 9, true), ALIVE_FOR),
         Effect::Late
     );
     assert!(life.is_leaving());
 }
 
-/// A heartbeat of the start before was held up by a partition, and arrives when the target has started
-/// again under its name; also one with a high number, and one that says that it leaves.
+/// Heartbeats of the former run are delayed by a partition and arrive after the target has restarted
+/// under the same name. They are ignored, also with a high sequence number or when draining.
 #[test]
-fn a_late_heartbeat_of_the_start_before_changes_nothing() {
+fn late_heartbeat_of_former_run_changes_nothing() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.receive_heartbeat(now, &born("a", 2_000, 3, true), FRESH);
+    life.receive_heartbeat(now, &dated("a", 2_000, 3, true), ALIVE_FOR);
     for (sequence, ready) in [(2, true), (90, true), (91, false)] {
-        let late = born("a", 1_000, sequence, ready);
-        assert_eq!(life.receive_heartbeat(now, &late, FRESH), Effect::Late);
+        let late = dated("a", 1_000, sequence, ready);
+        assert_eq!(life.receive_heartbeat(now, &late, ALIVE_FOR), Effect::Late);
         assert_eq!((life.stage, life.sequence), (Stage::Ready, 3));
     }
 }
 
-/// A heartbeat that doesn't tell its start, of a target that has told it before, is another writer's.
-/// Where the target never tells, its heartbeats count as they are.
+/// A heartbeat without a start time, after earlier ones with it, comes from another sender and is
+/// ignored. If a target never sends a start time, its heartbeats count without it.
 #[test]
-fn a_heartbeat_without_its_start_is_none_of_a_target_that_tells_it() {
+fn heartbeat_without_start_time_is_ignored_after_one_with_it() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.receive_heartbeat(now, &born("a", 2_000, 3, true), FRESH);
+    life.receive_heartbeat(now, &dated("a", 2_000, 3, true), ALIVE_FOR);
     assert_eq!(
-        life.receive_heartbeat(now, &beat("a", 4, false), FRESH),
+        life.receive_heartbeat(now, &heartbeat("a", 4, false), ALIVE_FOR),
         Effect::Undated
     );
     assert_eq!((life.stage, life.sequence), (Stage::Ready, 3));
-    let mut quiet = Life::unknown(now, 1);
-    quiet.receive_heartbeat(now, &beat("a", 3, true), FRESH);
+    let mut undated = Life::unknown(now, 1);
+    undated.receive_heartbeat(now, &heartbeat("a", 3, true), ALIVE_FOR);
     assert_eq!(
-        quiet.receive_heartbeat(now, &beat("a", 4, false), FRESH),
+        undated.receive_heartbeat(now, &heartbeat("a", 4, false), ALIVE_FOR),
         Effect::Changed
     );
-    assert!(quiet.is_leaving());
+    assert!(undated.is_leaving());
 }
 
-/// The target's clock was put back by an hour before it started again, so that its start looks older
-/// than the one before. One late heartbeat looks the same; but the start before is silent, and this one
-/// goes on counting.
+/// The target's clock is set back before a restart, so that the new run seems to have started before
+/// the former one. A single late heartbeat looks the same, but here the former run is silent and the
+/// new one's sequence numbers increase.
 #[test]
-fn a_start_with_its_clock_put_back_is_believed_when_it_goes_on() {
+fn restart_with_clock_set_back_is_accepted_when_it_continues() {
     let now = Instant::now();
     let mut life = Life::unknown(now, 1);
-    life.receive_heartbeat(now, &born("a", 9_000, 40, true), FRESH);
+    life.receive_heartbeat(now, &dated("a", 9_000, 40, true), ALIVE_FOR);
     assert_eq!(
-        life.receive_heartbeat(now, &born("a", 5_000, 1, true), FRESH),
+        life.receive_heartbeat(now, &dated("a", 5_000, 1, true), ALIVE_FOR),
         Effect::Late
     );
-    let later = now + FRESH * 2;
+    let later = now + ALIVE_FOR * 2;
     assert_eq!(
-        life.receive_heartbeat(later, &born("a", 5_000, 3, true), FRESH),
+        life.receive_heartbeat(later, &dated("a", 5_000, 3, true), ALIVE_FOR),
         Effect::Late
     );
     assert_eq!(
-        life.receive_heartbeat(later, &born("a", 5_000, 3, true), FRESH),
+        life.receive_heartbeat(later, &dated("a", 5_000, 3, true), ALIVE_FOR),
         Effect::Late
     );
     assert_eq!(
-        life.receive_heartbeat(later, &born("a", 5_000, 4, true), FRESH),
+        life.receive_heartbeat(later, &dated("a", 5_000, 4, true), ALIVE_FOR),
         Effect::Restarted
     );
     assert_eq!(life.sequence, 4);
