--- a/crates/target/src/call.rs
+++ b/crates/target/src/call.rs
@@ -1,4 +1,4 @@
-//! One call, from its head on the link to the end of its answer.
+//! Handles one call, from its head on the link to the end of its answer.
 
 mod deliver;
 
@@ -19,59 +19,60 @@
 use crate::connection::{self, Connection, Content, Outgoing};
 use crate::server::Server;
 
-/// A deadline beyond this is cut, so that an entry with a wrong clock or setting can't make the
-/// gate remember a token for ever.
+/// Maximum time until a deadline. It keeps an entry with a wrong clock or setting from making the gate
+/// remember a token for ever.
 const MAX_REMAINING: Duration = Duration::from_secs(3_600);
 
-/// One call at one gate.
-pub(crate) struct Work<'a> {
+/// Handles one call to the target.
+pub(crate) struct Handler<'a> {
     server: &'a Server,
     call: Call,
-    /// The instance that asks.
+    /// The instance that sent the call.
     entry: Instance,
     deadline: Instant,
-    /// How long it has waited for a slot.
+    /// How long the request waited for a slot.
     waited: Duration,
 }
 
-/// All that a request needs to start.
+/// What a request needs to start.
 struct Dispatch {
     permit: Permit,
     connection: Connection,
 }
 
-/// A request that may run at the target.
+/// A dispatched request, which may run at the target.
 struct Run {
     running: Running,
-    /// What the calls that the target makes for it inherit.
-    nest: nest::Running,
-    /// Where its answer is kept if it may not be repeated.
-    hold: Option<held::Running>,
-    /// The gate's load as it started.
+    /// Registers the request as the parent of the calls that the target makes for it.
+    parent: nest::Running,
+    /// Keeps the answer, if the request may not be repeated.
+    held: Option<held::Running>,
+    /// The gate's load when the request started.
     load: Report,
-    began: Instant,
+    started: Instant,
 }
 
-/// What came of the request at the target.
+/// The outcome of sending a request to the target.
 #[expect(
     clippy::large_enum_variant,
-    reason = "It is moved once, and a box would cost an allocation each."
+    reason = "The value is moved once, and boxing it would cost an allocation for each request."
 )]
 enum Sent {
-    /// The target answers.
+    /// The target has sent the head of its answer.
     Answer(response::Head, Connection),
-    /// The connection died, or brought no answer, while the request may have run.
+    /// The connection was lost or brought no valid answer; the request may have run.
     Failed(connection::Error),
-    /// The deadline came first; the connection had carried so many requests.
-    Late(u32),
-    /// The entry went away.
+    /// The deadline passed before an answer arrived. Holds the number of requests that the connection
+    /// had carried before.
+    TimedOut(u32),
+    /// The entry disconnected.
     Cancelled,
 }
 
-impl<'a> Work<'a> {
-    pub(crate) fn new(server: &'a Server, call: Call, entry: Instance) -> Work<'a> {
+impl<'a> Handler<'a> {
+    pub(crate) fn new(server: &'a Server, call: Call, entry: Instance) -> Handler<'a> {
         let deadline = Instant::now() + call.remaining.min(MAX_REMAINING);
-        Work {
+        Handler {
             server,
             call,
             entry,
@@ -84,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// The link's error if the entry went away.
+    /// The link's error if the entry disconnected.
     pub(crate) async fn run(mut self, stream: Stream) -> Result<(), Error> {
         let Stream {
             mut sender,
@@ -95,18 +96,18 @@
             let cause = Cause::Misdirected;
             return self.refuse(sender, cause, Duration::ZERO).await;
         }
-        let offered = Instant::now();
+        let arrived = Instant::now();
         let permit = tokio::select! {
             permit = self.admit() => permit,
-            // Nobody waits for the answer any more: the request leaves the queue unsent.
+            // The entry has disconnected: the request leaves the queue without being sent.
             () = sender.stopped() => {
-                log::info!("gate: id={} gave-up waited_ms={}.", self.id(), millis(offered));
+                log::info!("gate: id={} gave-up waited_ms={}.", self.id(), elapsed_ms(arrived));
                 return Ok(());
             }
         };
         match permit {
             Ok(permit) => {
-                self.waited = offered.elapsed();
+                self.waited = arrived.elapsed();
                 self.connect(permit, sender, receiver).await
             }
             Err(refusal) => {
@@ -114,16 +115,16 @@
                     "gate: id={} refused={} waited_ms={} {}.",
                     self.id(),
                     refusal.cause(),
-                    millis(offered),
-                    load(&refusal.report())
+                    elapsed_ms(arrived),
+                    load_fields(&refusal.report())
                 );
-                self.refused(sender, &refusal).await
+                self.forward_refusal(sender, &refusal).await
             }
         }
     }
 
-    /// Waits for a slot, and for the target's word on its pace where a start on old news could cost
-    /// much more than that.
+    /// Waits for a slot, and for a fresh pace report if starting with an old one could cost much more
+    /// than the wait.
     async fn admit(&self) -> Result<Permit, gate::Refusal> {
         let permit = self.server.gate.admit(self.request()).await?;
         if permit.needs_pace_probe() {
@@ -132,7 +133,7 @@
         permit.reconsider().await
     }
 
-    /// What the request is called in logs: by the caller's name for it, else by the token.
+    /// The name of the request in logs: the caller's name for it if there is one, else the token.
     fn id(&self) -> String {
         match self.attempt() {
             Some(header) => String::from_utf8_lossy(&header.value).into_owned(),
@@ -140,7 +141,7 @@
         }
     }
 
-    /// The caller's name for the request.
+    /// The header that holds the caller's name for the request.
     fn attempt(&self) -> Option<&Header> {
         let name = self.server.dialect.attempt.as_ref()?;
         let mut headers = self.call.headers.iter();
@@ -151,6 +152,7 @@
         Method::from_bytes(self.call.method.as_bytes()).ok()
     }
 
+    /// Whether the call is for another service, or nested too deeply.
     fn misdirected(&self) -> bool {
         self.call.service != self.server.service || self.call.depth > self.server.max_depth
     }
@@ -170,8 +172,8 @@
         }
     }
 
-    /// Gets a connection while the permit is still unused, so that a target that can't be reached
-    /// makes a refusal and not a doubt.
+    /// Gets a connection before the permit is used, so that the request is refused if the target can't
+    /// be reached. Once dispatched, it would be unknown whether it ran.
     async fn connect(
         self,
         permit: Permit,
@@ -187,7 +189,7 @@
                 log::warn!("target: {error}.");
                 self.server.mark_unreachable();
                 let refusal = permit.refuse(gate::Cause::Down);
-                self.refused(sender, &refusal).await
+                self.forward_refusal(sender, &refusal).await
             }
         }
     }
@@ -213,11 +215,11 @@
         }
     }
 
-    /// The body as it will be sent, with the leave to send it where the entry waits for that.
+    /// The request's body. If it is streamed, the entry is asked to send it.
     async fn content(&self, sender: &mut Sender, mut receiver: Receiver) -> Result<Content, Error> {
         match self.call.body {
             Payload::Empty => Ok(Content::Empty),
-            Payload::Whole => collect(&mut receiver).await.map(Content::Whole),
+            Payload::Whole => read_body(&mut receiver).await.map(Content::Whole),
             Payload::Streamed => {
                 let token = self.call.token;
                 sender.send(&Frame::Accepted(Accepted { token })).await?;
@@ -226,7 +228,7 @@
         }
     }
 
-    /// From here on the request may run.
+    /// Uses the permit: from here on the request may run.
     fn start(&self, permit: Permit) -> Run {
         let load = self.server.gate.report();
         if load.slow {
@@ -236,13 +238,15 @@
         let once = self.call.once;
         Run {
             running,
-            nest: self.nest(),
-            hold: once.then(|| self.server.held.begin(self.call.token)),
+            parent: self.register_parent(),
+            held: once.then(|| self.server.held.begin(self.call.token)),
             load,
-            began: Instant::now(),
+            started: Instant::now(),
         }
     }
 
+    /// Sends the request and waits for the head of the answer, until the deadline. A request that may
+    /// not be repeated goes on when the entry disconnects.
     async fn send(
         &self,
         mut connection: Connection,
@@ -259,13 +263,13 @@
         match answered {
             Ok(Ok(head)) => Sent::Answer(head, connection),
             Ok(Err(error)) => Sent::Failed(error),
-            Err(_) => Sent::Late(carried),
+            Err(_) => Sent::TimedOut(carried),
         }
     }
 
-    /// The target did not run the request. If another life than the one meant has answered, the
-    /// gate must know before it sends more.
-    fn declined(&self, head: &response::Head, mut connection: Connection) {
+    /// Handles an answer by which the target reports that it did not run the request. If another life
+    /// than the expected one has answered, the gate must be notified before more requests are sent.
+    fn handle_declined(&self, head: &response::Head, mut connection: Connection) {
         if head.status == StatusCode::MISDIRECTED_REQUEST {
             self.server.wrong_life_answered(&head.headers);
         }
@@ -276,20 +280,22 @@
         });
     }
 
-    fn free(&self, connection: Connection) {
+    /// Returns a connection to the pool after an answer.
+    fn release(&self, connection: Connection) {
         if !connection.is_free() && connection.has_excess() {
-            log::warn!("target: sent more than its answer.");
+            log::warn!("target: received bytes after the end of an answer.");
             self.server.pool.be_wary();
         }
         self.server.pool.give(connection);
     }
 
+    /// The request as it is sent to the target, with the headers that its dialect names.
     fn outgoing(&self) -> Outgoing {
         let dialect = &self.server.dialect;
         let mut headers = Header::map(&self.call.headers);
         if dialect.attempt.is_none() {
             let token = HeaderValue::from_str(&self.call.token.to_string());
-            // A token is digits and letters.
+            // Never fails: a token consists of digits and letters.
             let token = token.unwrap_or_else(|_| HeaderValue::from_static(""));
             headers.insert(HeaderName::from_static(nest::HEADER), token);
         }
@@ -314,8 +320,8 @@
         }
     }
 
-    /// Enters the run for the calls that the target makes for it.
-    fn nest(&self) -> nest::Running {
+    /// Registers the request as the parent of the calls that the target makes for it.
+    fn register_parent(&self) -> nest::Running {
         match self.attempt() {
             Some(header) => self.server.nests.enter_named(&header.value, self.context()),
             None => self.server.nests.enter(self.call.token, self.context()),
@@ -342,18 +348,18 @@
         }
     }
 
-    /// Ends a dispatched call that has no answer. It may have run, so this is never a refusal.
+    /// Ends a dispatched call without an answer. The request may have run, so this is never a refusal.
     async fn fail(&self, sent: Sent, run: Run, sender: Sender) -> Result<(), Error> {
-        let latency = run.began.elapsed();
+        let latency = run.started.elapsed();
         let running = run.running;
-        let late = matches!(sent, Sent::Late(_));
+        let late = matches!(sent, Sent::TimedOut(_));
         self.server.stats().lost.inc();
         let cause = match sent {
             Sent::Answer(..) | Sent::Cancelled => {
                 running.finish(End::Cancelled);
                 return Ok(());
             }
-            Sent::Late(carried) => {
+            Sent::TimedOut(carried) => {
                 if carried > 0 {
                     self.server.pool.distrust();
                 }
@@ -379,7 +385,8 @@
         abort(sender, Abort { late, cause }).await
     }
 
-    async fn refused(&self, sender: Sender, refusal: &gate::Refusal) -> Result<(), Error> {
+    /// Sends the refusal of the gate to the entry.
+    async fn forward_refusal(&self, sender: Sender, refusal: &gate::Refusal) -> Result<(), Error> {
         self.refuse(sender, refusal.cause(), refusal.retry_after())
             .await
     }
@@ -390,7 +397,8 @@
         cause: Cause,
         retry_after: Duration,
     ) -> Result<(), Error> {
-        // A refusal is the news that an entry needs most.
+        // Entries need the load report most when a request is refused, so the budget treats it like
+        // that of an urgent call.
         let report = self.server.report(&self.entry, Urgency::Urgent);
         let token = self.call.token;
         sender.push(&Frame::Refusal(Refusal {
@@ -403,12 +411,12 @@
     }
 }
 
-fn millis(since: Instant) -> u128 {
+fn elapsed_ms(since: Instant) -> u128 {
     since.elapsed().as_millis()
 }
 
-/// The load of the gate in a line of the log, as it decided the request.
-fn load(report: &Report) -> String {
+/// Formats the load that the gate had when it decided on a request, for a log line.
+fn load_fields(report: &Report) -> String {
     format!(
         "running={} queued={} limit={} pace={} service_us={}",
         report.running,
@@ -419,8 +427,8 @@
     )
 }
 
-/// Reads a body that follows its call at once.
-async fn collect(receiver: &mut Receiver) -> Result<Bytes, Error> {
+/// Reads a body that follows its call without waiting for [`Accepted`].
+async fn read_body(receiver: &mut Receiver) -> Result<Bytes, Error> {
     let mut body = BytesMut::new();
     loop {
         match receiver.recv().await? {
@@ -431,6 +439,7 @@
     }
 }
 
+/// Reports to the entry that a dispatched call ended without a complete answer.
 async fn abort(mut sender: Sender, abort: Abort) -> Result<(), Error> {
     sender.push(&Frame::Abort(abort))?;
     sender.finish().await
--- a/crates/target/src/call/deliver.rs
+++ b/crates/target/src/call/deliver.rs
@@ -1,4 +1,4 @@
-//! The target's answer on its way back to the entry.
+//! Delivers the target's answer to the entry.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 use http1::response;
 use wire::{Abort, Cause, Error, Sender};
 
-use super::{Run, Work, abort, load, millis};
+use super::{Handler, Run, abort, elapsed_ms, load_fields};
 use crate::answer::{self, Ended, Relay};
 use crate::connection::Connection;
 use crate::verdict::{self, Verdict};
 
-impl Work<'_> {
-    /// Gives the answer to the entry, or says why it can't be given.
+impl Handler<'_> {
+    /// Delivers the answer to the entry, or reports why it can't be delivered.
     pub(super) async fn deliver(
         self,
         run: Run,
@@ -21,7 +21,7 @@
         connection: Connection,
         sender: Sender,
     ) -> Result<(), Error> {
-        let latency = run.began.elapsed();
+        let latency = run.started.elapsed();
         let stats = self.server.stats();
         stats.waited.observe(self.waited.as_secs_f64());
         stats.ran.observe(latency.as_secs_f64());
@@ -31,7 +31,7 @@
             Verdict::Declined => {
                 stats.declined.inc();
                 run.running.finish(End::Declined);
-                self.declined(&head, connection);
+                self.handle_declined(&head, connection);
                 self.refuse(sender, Cause::Declined, Duration::ZERO).await
             }
             Verdict::Unfit(cause) => {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Passes a fit answer on, to its end.
+    /// Relays a valid answer to its end.
     async fn relay(
         &self,
         mut run: Run,
@@ -51,9 +51,9 @@
         mut connection: Connection,
         mut sender: Sender,
     ) -> Result<(), Error> {
-        let reply = self.reply(&head, run.nest.allowance_left());
-        // For a request that may not be repeated we go on although the entry is gone: its answer
-        // is kept for whoever asks after the token.
+        let reply = self.reply(&head, run.parent.allowance_left());
+        // For a request that may not be repeated, the relay reads on after the entry has disconnected:
+        // the answer is kept for later queries for the token.
         let relay = Relay {
             sender: &mut sender,
             idle: self.server.idle_timeout,
@@ -69,11 +69,11 @@
         };
         match ended {
             Ended::Whole { copy, taken } => {
-                if let (Some(hold), Some(body)) = (run.hold.take(), copy) {
-                    hold.done(Answer { reply, body });
+                if let (Some(held), Some(body)) = (run.held.take(), copy) {
+                    held.done(Answer { reply, body });
                 }
-                self.free(connection);
-                self.answered(run, &head, latency);
+                self.release(connection);
+                self.finish(run, &head, latency);
                 if taken { sender.finish().await } else { Ok(()) }
             }
             Ended::Unwanted => {
@@ -82,15 +82,15 @@
             }
             Ended::Cut(cause) => {
                 self.server.pool.be_wary();
-                let latency = run.began.elapsed();
+                let latency = run.started.elapsed();
                 run.running.finish(End::Failed { latency });
                 abort(sender, Abort::broken(cause)).await
             }
         }
     }
 
-    /// Tells the log and the gate of a run that was answered in full.
-    fn answered(&self, run: Run, head: &response::Head, latency: Duration) {
+    /// Logs a run with a complete answer, and reports it to the gate.
+    fn finish(&self, run: Run, head: &response::Head, latency: Duration) {
         log::info!(
             "gate: id={} status={} urgency={} goal_ms={} waited_ms={} ran_ms={} class={} {}.",
             self.id(),
@@ -98,12 +98,12 @@
             self.call.urgency,
             self.call.goal.map_or(-1, |goal| goal.as_millis() as i64),
             self.waited.as_millis(),
-            millis(run.began),
+            elapsed_ms(run.started),
             self.call.class,
-            load(&run.load)
+            load_fields(&run.load)
         );
         if head.status.is_success()
-            && let Some(work) = latency.checked_sub(run.nest.nested_time())
+            && let Some(work) = latency.checked_sub(run.parent.nested_time())
         {
             run.running.record_work(work);
         }
--- a/crates/target/src/server.rs
+++ b/crates/target/src/server.rs
@@ -16,7 +16,7 @@
 use unit::{Depth, Instance, Report, Service, Size, Urgency};
 use wire::{Ask, Call, Error, Frame, Known, Sender, Stream};
 
-use crate::call::Work;
+use crate::call::Handler;
 use crate::life::Life;
 use crate::pool::Pool;
 use crate::{Builder, Heartbeats, Stats};
@@ -138,7 +138,7 @@
     /// The link's error if the entry disconnected.
     pub async fn call(&self, stream: Stream, call: Call) -> Result<(), Error> {
         let entry = stream.receiver.peer().clone();
-        Work::new(self, call, entry).run(stream).await
+        Handler::new(self, call, entry).run(stream).await
     }
 
     /// Answers a query for the state of a token.
