--- a/crates/target/src/call.rs
+++ b/crates/target/src/call.rs
@@ -219,7 +219,7 @@
     async fn content(&self, sender: &mut Sender, mut receiver: Receiver) -> Result<Content, Error> {
         match self.call.body {
             Payload::Empty => Ok(Content::Empty),
-            Payload::Whole => read_body(&mut receiver).await.map(Content::Whole),
+            Payload::Whole => read_body(&mut receiver).await.map(Content::Complete),
             Payload::Streamed => {
                 let token = self.call.token;
                 sender.send(&Frame::Accepted(Accepted { token })).await?;
@@ -276,17 +276,17 @@
         let pool = self.server.pool.clone();
         tokio::spawn(async move {
             while let Ok(Some(_)) = connection.piece().await {}
-            pool.give(connection);
+            pool.put(connection);
         });
     }
 
     /// Returns a connection to the pool after an answer.
     fn release(&self, connection: Connection) {
-        if !connection.is_free() && connection.has_excess() {
+        if !connection.is_reusable() && connection.has_excess() {
             log::warn!("target: received bytes after the end of an answer.");
-            self.server.pool.be_wary();
+            self.server.pool.record_violation();
         }
-        self.server.pool.give(connection);
+        self.server.pool.put(connection);
     }
 
     /// The request as it is sent to the target, with the headers that its dialect names.
@@ -361,7 +361,7 @@
             }
             Sent::TimedOut(carried) => {
                 if carried > 0 {
-                    self.server.pool.distrust();
+                    self.server.pool.clear();
                 }
                 running.finish(End::Failed { latency });
                 "the target did not answer in time".to_string()
@@ -372,7 +372,7 @@
                 error.to_string()
             }
             Sent::Failed(error) => {
-                self.server.pool.be_wary();
+                self.server.pool.record_violation();
                 running.finish(End::Failed { latency });
                 error.to_string()
             }
--- a/crates/target/src/call/deliver.rs
+++ b/crates/target/src/call/deliver.rs
@@ -81,7 +81,7 @@
                 Ok(())
             }
             Ended::Cut(cause) => {
-                self.server.pool.be_wary();
+                self.server.pool.record_violation();
                 let latency = run.started.elapsed();
                 run.running.finish(End::Failed { latency });
                 abort(sender, Abort::broken(cause)).await
--- a/crates/target/src/connection.rs
+++ b/crates/target/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the target.
+//! A connection to the target.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,40 +14,41 @@
 use tokio::time::{Instant, timeout};
 use wire::{Frame, Receiver};
 
-/// How long a connection to the target may take. It is on the same instance.
+/// Maximum time to connect to the target, which runs on the same instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Room for one read. Without it the buffer grows by 64 bytes at a time, and each is a system call.
-const READ_AT_ONCE: usize = 8 << 10;
+/// Bytes reserved for one read. Without it the buffer grows by 64 bytes at a time, with a system call
+/// for each.
+const READ_SIZE: usize = 8 << 10;
 
-/// Answers to other requests that are passed over on one connection before it is given up.
-const MOST_FOREIGN: usize = 3;
+/// After this many answers to other requests, a connection is given up.
+const MAX_FOREIGN_ANSWERS: usize = 3;
 
 quick_error! {
-    /// Why there is no answer, or no whole one.
+    /// An error that left a request without a complete answer.
     #[derive(Debug)]
     pub enum Error {
-        /// No connection came about; nothing was sent.
+        /// The connection could not be opened; nothing was sent.
         Connect(target: SocketAddr, cause: io::Error) {
             display("connect to target {target}: {cause}")
             source(cause)
         }
-        /// The connection ended under the request, which may have run.
+        /// The connection was lost during the request, which may have run.
         Lost(cause: String) {
             display("the connection to the target was lost: {cause}")
         }
-        /// What the target sent is no answer to the request, which may have run.
+        /// The target sent no valid answer to the request, which may have run.
         Garbled(cause: String) {
             display("the target's answer is garbled: {cause}")
         }
-        /// The request's body broke off on its way here.
+        /// The request's body ended early on the link.
         Body(cause: String) {
             display("the request's body broke off: {cause}")
         }
     }
 }
 
-/// A request as it goes to the target.
+/// The head of a request to the target.
 pub(crate) struct Outgoing {
     pub(crate) method: Method,
     pub(crate) uri: String,
@@ -57,25 +58,25 @@
 /// A request's body.
 pub(crate) enum Content {
     Empty,
-    /// All of it is at hand.
-    Whole(Bytes),
-    /// It comes over the link.
+    /// The complete body.
+    Complete(Bytes),
+    /// A body that is read from the link while it is sent.
     Streamed(Receiver),
 }
 
-/// A connection to the target, free for a request or under one.
+/// A connection to the target, idle or in use by one request.
 pub(crate) struct Connection {
     stream: TcpStream,
     input: BytesMut,
     body: Body,
-    /// Nothing speaks against another request on it.
-    keep: bool,
-    /// How long the target keeps it open, if it says so.
-    pub(crate) keep_for: Option<Duration>,
-    /// Requests that it has carried.
+    /// Whether the connection stays open after the answer and may be used again.
+    keep_alive: bool,
+    /// How long the target keeps an idle connection open, if it says so.
+    pub(crate) keep_alive_timeout: Option<Duration>,
+    /// Number of requests sent on it.
     pub(crate) carried: u32,
     /// When its last answer ended.
-    pub(crate) since: Instant,
+    pub(crate) idle_since: Instant,
 }
 
 impl Connection {
@@ -89,27 +90,27 @@
             stream,
             input: BytesMut::new(),
             body: Body::of(Length::Empty),
-            keep: true,
-            keep_for: None,
+            keep_alive: true,
+            keep_alive_timeout: None,
             carried: 0,
-            since: Instant::now(),
+            idle_since: Instant::now(),
         })
     }
 
-    /// Whether the connection is open and silent: an end, or bytes that nobody asked for, make it
-    /// useless.
-    pub(crate) fn is_sound(&self) -> bool {
+    /// Whether an idle connection can still be used: it is open, and nothing was received on it since
+    /// its last answer.
+    pub(crate) fn is_usable(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
-        self.keep && matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
+        self.keep_alive && matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether it may carry another request: the answer was whole, and nothing came behind it.
-    pub(crate) fn is_free(&self) -> bool {
-        self.keep && self.body.is_done() && self.input.is_empty()
+    /// Whether it may carry another request: the answer is complete and no bytes followed it.
+    pub(crate) fn is_reusable(&self) -> bool {
+        self.keep_alive && self.body.is_done() && self.input.is_empty()
     }
 
-    /// Whether bytes came behind the answer.
+    /// Whether bytes followed the complete answer.
     pub(crate) fn has_excess(&self) -> bool {
         self.body.is_done() && !self.input.is_empty()
     }
@@ -118,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// Every kind but [`Error::Connect`]; the connection is of no more use.
+    /// Every kind except [`Error::Connect`]. The connection must not be used again.
     pub(crate) async fn send(
         &mut self,
         request: &Outgoing,
@@ -138,16 +139,16 @@
         let mut rest = None;
         match content {
             Content::Empty => {}
-            Content::Whole(body) => output.extend_from_slice(&body),
+            Content::Complete(body) => output.extend_from_slice(&body),
             Content::Streamed(receiver) => rest = Some(receiver),
         }
         let chunked = length == Length::Chunked;
         loop {
             if let Some(head) = self.head(request, dialect).await? {
                 if rest.is_some() || !output.is_empty() {
-                    // The target has answered before it had the whole request. What follows on
-                    // this connection would be taken for the rest of the body.
-                    self.keep = false;
+                    // The target has answered before it received the complete request. It would
+                    // take another request on this connection for the rest of the body.
+                    self.keep_alive = false;
                 }
                 return Ok(head);
             }
@@ -155,14 +156,14 @@
         }
     }
 
-    /// Moves some bytes, either way.
+    /// Reads or writes some bytes.
     async fn step(
         &mut self,
         output: &mut BytesMut,
         rest: &mut Option<Receiver>,
         chunked: bool,
     ) -> Result<(), Error> {
-        self.input.reserve(READ_AT_ONCE);
+        self.input.reserve(READ_SIZE);
         let (mut reader, mut writer) = self.stream.split();
         tokio::select! {
             read = reader.read_buf(&mut self.input) => match read {
@@ -172,10 +173,10 @@
             },
             written = writer.write_buf(output), if !output.is_empty() => {
                 if written.is_err() {
-                    // The answer may be there although the target takes no more.
+                    // The target may have sent an answer although it reads no more of the request.
                     output.clear();
                     *rest = None;
-                    self.keep = false;
+                    self.keep_alive = false;
                 }
                 Ok(())
             }
@@ -189,58 +190,60 @@
         }
     }
 
-    /// The head of the answer, if all of it has come. Answers to other requests are passed over.
+    /// The head of the answer, once it has been received completely. Answers to other requests are
+    /// skipped.
     async fn head(
         &mut self,
         request: &Outgoing,
         dialect: &Dialect,
     ) -> Result<Option<response::Head>, Error> {
-        for _ in 0..MOST_FOREIGN {
-            let head = response::parse(&mut self.input, &request.method).map_err(garbled)?;
+        for _ in 0..MAX_FOREIGN_ANSWERS {
+            let head = response::parse(&mut self.input, &request.method).map_err(to_error)?;
             let Some(head) = head else {
                 return Ok(None);
             };
             self.body = Body::of(head.length);
-            self.keep &= head.keep;
-            self.keep_for = keep_for(&head.headers);
+            self.keep_alive &= head.keep;
+            self.keep_alive_timeout = keep_alive_timeout(&head.headers);
             if !is_foreign(&head, request, dialect) {
                 return Ok(Some(head));
             }
-            self.keep = false;
+            self.keep_alive = false;
             while self.piece().await?.is_some() {}
         }
         Err(Error::Garbled("answers to other requests".to_string()))
     }
 
-    /// The next piece of the answer's body; `None` once all of it was read.
+    /// Reads the next piece of the answer's body; `None` at its end.
     ///
     /// # Errors
     ///
-    /// [`Error::Lost`] or [`Error::Garbled`] if the body is cut.
+    /// [`Error::Lost`] or [`Error::Garbled`] if the body is truncated or malformed.
     pub(crate) async fn piece(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
-            match self.body.next(&mut self.input).map_err(garbled)? {
+            match self.body.next(&mut self.input).map_err(to_error)? {
                 Some(Piece::Data(data)) => return Ok(Some(data)),
                 Some(Piece::End) => {
-                    self.since = Instant::now();
+                    self.idle_since = Instant::now();
                     return Ok(None);
                 }
                 None => {}
             }
-            self.input.reserve(READ_AT_ONCE);
+            self.input.reserve(READ_SIZE);
             match self.stream.read_buf(&mut self.input).await {
                 Ok(0) => {
-                    self.keep = false;
-                    self.body.finish().map_err(garbled)?;
+                    self.keep_alive = false;
+                    self.body.finish().map_err(to_error)?;
                 }
                 Ok(_) => {}
-                // A reset is no end, also of a body that ends with its connection.
+                // A reset never ends a body, not even one that is delimited by the connection's end.
                 Err(error) => return Err(Error::Lost(error.to_string())),
             }
         }
     }
 }
 
+/// Reads the next piece of the request's body from the link; `None` at its end.
 async fn next(rest: &mut Option<Receiver>) -> Result<Option<Bytes>, Error> {
     let Some(receiver) = rest else {
         return std::future::pending().await;
@@ -248,13 +251,13 @@
     match receiver.recv().await {
         Ok(Some(Frame::Data(data))) => Ok(Some(data)),
         Ok(Some(Frame::End)) => Ok(None),
-        // A body that is cut must never look complete to the target.
+        // A truncated body must never look complete to the target.
         Ok(_) => Err(Error::Body("its link ended early".to_string())),
         Err(error) => Err(Error::Body(error.to_string())),
     }
 }
 
-/// Writes a piece of the request's body, or its end; true at the end.
+/// Appends a piece of the request's body, or its end, to `output`. Returns true at the end.
 fn append(piece: Option<Bytes>, chunked: bool, output: &mut BytesMut) -> bool {
     match (piece, chunked) {
         (Some(data), true) if !data.is_empty() => http1::chunk(&data, output),
@@ -268,14 +271,14 @@
     false
 }
 
-/// How the target is told where the request's body ends.
+/// How the length of the request's body is declared to the target.
 fn length(request: &Outgoing, content: &Content) -> Length {
     let declared = Length::of(&request.headers).ok().flatten();
     match content {
-        // A request that may have a body says that it has none.
+        // If the caller declared a length, an empty body has an explicit length of 0.
         Content::Empty if declared.is_some() => Length::Sized(0),
         Content::Empty => Length::Empty,
-        Content::Whole(body) => Length::Sized(body.len() as u64),
+        Content::Complete(body) => Length::Sized(body.len() as u64),
         Content::Streamed(_) => match declared {
             Some(Length::Sized(size)) => Length::Sized(size),
             _ => Length::Chunked,
@@ -283,7 +286,8 @@
     }
 }
 
-/// Whether an answer is to another request than this one. A success that names no request counts.
+/// Whether an answer belongs to another request than this one. A success that names no request counts
+/// as belonging to another.
 fn is_foreign(head: &response::Head, request: &Outgoing, dialect: &Dialect) -> bool {
     let Some(asked) = dialect.attempt(&request.headers) else {
         return false;
@@ -294,8 +298,8 @@
     }
 }
 
-/// How long the target says that it keeps the connection.
-fn keep_for(headers: &HeaderMap) -> Option<Duration> {
+/// The `timeout` parameter of the `Keep-Alive` header.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive").map(HeaderValue::to_str)?.ok()?;
     let parts = text
         .split(',')
@@ -305,7 +309,7 @@
     Some(Duration::from_secs(seconds))
 }
 
-fn garbled(fault: Fault) -> Error {
+fn to_error(fault: Fault) -> Error {
     match fault {
         Fault::Cut => Error::Lost(fault.to_string()),
         _ => Error::Garbled(fault.to_string()),
--- a/crates/target/src/pool.rs
+++ b/crates/target/src/pool.rs
@@ -1,7 +1,8 @@
-//! Connections to the target.
+//! A pool of connections to the target.
 //!
-//! A connection is taken first, while the gate's permit is still unused, and sending is a step of
-//! its own: so a target that can't be reached makes a refusal and not a doubt.
+//! Taking a connection and sending a request are separate steps. A connection is taken before the
+//! gate's permit is used, so that the request is refused if the target can't be reached. Once
+//! dispatched, it would be unknown whether it ran.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,26 +12,26 @@
 
 use crate::connection::{Connection, Error};
 
-/// A connection that was unused for longer is not used again: something between may have lost
-/// track of it, and a request on it would hang until its deadline.
+/// A connection that was idle for longer is not used again: something on the path may have
+/// dropped its state for it, and a request on it would hang until its deadline.
 const MAX_IDLE: Duration = Duration::from_secs(4);
 
-/// The same for a request that may not be repeated. The target's close may cross with the request,
-/// and nobody could tell whether it ran; a connection that was just in use is not closed for its
-/// idleness. A connection of its own for each such request cost a third of all connections.
+/// The same for a request that may not be repeated. If the target closes an idle connection while the
+/// request is on its way, it is unknown whether the request ran; a connection that was just in use
+/// isn't closed as idle. A new connection for each such request would be a third of all connections.
 const MAX_IDLE_ONCE: Duration = Duration::from_secs(1);
 
-/// A connection is given up so long before the target says that it closes it.
+/// A connection is dropped this long before the target's announced keep-alive timeout.
 const CLOSE_MARGIN: Duration = Duration::from_secs(1);
 
-/// For so long after an answer that nobody asked for, requests that may not be repeated get
-/// connections of their own: one more such answer, on a kept connection, would leave them in doubt.
-const WARY_FOR: Duration = Duration::from_secs(10);
+/// After an invalid or unsolicited answer, requests that may not be repeated get new connections for
+/// this long: with another such answer on a reused connection, it would be unknown whether they ran.
+const FRESH_ONLY_FOR: Duration = Duration::from_secs(10);
 
-/// Unused connections kept.
-const MAX_KEPT: usize = 256;
+/// Maximum number of idle connections.
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
-/// Connections to one target.
+/// A pool of connections to one target.
 pub(crate) struct Pool {
     target: SocketAddr,
     idle: Mutex<Idle>,
@@ -38,9 +39,10 @@
 
 #[derive(Default)]
 struct Idle {
-    /// The one used last is used next, so that those in excess age.
+    /// A stack: the connection used last is used next, so that surplus ones expire.
     connections: Vec<Connection>,
-    wary: Option<Instant>,
+    /// When the target last sent an invalid, truncated or unsolicited answer.
+    violated_at: Option<Instant>,
     opened: u64,
 }
 
@@ -52,67 +54,72 @@
         }
     }
 
-    /// The address of the target.
     pub(crate) fn target(&self) -> SocketAddr {
         self.target
     }
 
-    /// Connections opened so far.
+    /// Number of connections opened so far.
     pub(crate) fn opened(&self) -> u64 {
         self.idle.lock().opened
     }
 
-    /// A connection that is ready for a request; `once` if the request may not be repeated.
+    /// Takes an idle connection or opens one; `once` if the request may not be repeated.
     pub(crate) async fn take(&self, once: bool) -> Result<Connection, Error> {
-        if let Some(kept) = self.kept(once) {
-            return Ok(kept);
+        if let Some(connection) = self.take_idle(once) {
+            return Ok(connection);
         }
         let opened = Connection::open(self.target).await?;
         self.idle.lock().opened += 1;
         Ok(opened)
     }
 
-    /// Keeps a connection, if it may carry another request.
-    pub(crate) fn give(&self, connection: Connection) {
+    /// Returns a connection to the pool, if it may carry another request.
+    pub(crate) fn put(&self, connection: Connection) {
         let mut idle = self.idle.lock();
-        if connection.is_free() && idle.connections.len() < MAX_KEPT {
+        if connection.is_reusable() && idle.connections.len() < MAX_IDLE_CONNECTIONS {
             idle.connections.push(connection);
         }
     }
 
-    /// A kept connection has swallowed a request: the others may have gone silent with it.
-    pub(crate) fn distrust(&self) {
+    /// Drops all idle connections: a request on a reused one got no answer, or the target has
+    /// restarted, so the others may be dead too.
+    pub(crate) fn clear(&self) {
         self.idle.lock().connections.clear();
     }
 
-    /// The target has sent what nobody asked for.
-    pub(crate) fn be_wary(&self) {
-        self.idle.lock().wary = Some(Instant::now());
+    /// Records that the target sent an invalid, truncated or unsolicited answer.
+    pub(crate) fn record_violation(&self) {
+        self.idle.lock().violated_at = Some(Instant::now());
     }
 
-    fn kept(&self, once: bool) -> Option<Connection> {
+    /// Takes an idle connection that can be used, if there is one.
+    fn take_idle(&self, once: bool) -> Option<Connection> {
         let mut idle = self.idle.lock();
         idle.connections
-            .retain(|kept| kept.since.elapsed() < bound(kept));
-        let wary = idle.wary.is_some_and(|since| since.elapsed() < WARY_FOR);
-        if once && wary {
+            .retain(|connection| connection.idle_since.elapsed() < max_idle(connection));
+        let fresh_only = idle
+            .violated_at
+            .is_some_and(|at| at.elapsed() < FRESH_ONLY_FOR);
+        if once && fresh_only {
             return None;
         }
-        while let Some(kept) = idle.connections.pop() {
-            if once && kept.since.elapsed() >= MAX_IDLE_ONCE {
-                idle.connections.push(kept);
+        while let Some(connection) = idle.connections.pop() {
+            if once && connection.idle_since.elapsed() >= MAX_IDLE_ONCE {
+                idle.connections.push(connection);
                 return None;
             }
-            if kept.is_sound() {
-                return Some(kept);
+            if connection.is_usable() {
+                return Some(connection);
             }
         }
         None
     }
 }
 
-/// How long a connection may lie idle.
-fn bound(kept: &Connection) -> Duration {
-    let said = kept.keep_for.map(|time| time.saturating_sub(CLOSE_MARGIN));
-    said.map_or(MAX_IDLE, |said| said.min(MAX_IDLE))
+/// Maximum idle time of a connection.
+fn max_idle(connection: &Connection) -> Duration {
+    let announced = connection
+        .keep_alive_timeout
+        .map(|timeout| timeout.saturating_sub(CLOSE_MARGIN));
+    announced.map_or(MAX_IDLE, |announced| announced.min(MAX_IDLE))
 }
--- a/crates/target/src/presence.rs
+++ b/crates/target/src/presence.rs
@@ -95,7 +95,7 @@
     /// Requests sent to the former run may have run, and requests that crash targets still do, so the
     /// gate keeps its tokens and suspects.
     fn target_restarted(&self) {
-        self.pool.distrust();
+        self.pool.clear();
         self.gate.target_cold();
         self.gate.target_restarted();
     }
@@ -148,7 +148,7 @@
         }
         match Connection::open(self.pool.target()).await {
             Ok(connection) => {
-                self.pool.give(connection);
+                self.pool.put(connection);
                 None
             }
             Err(error) => {
--- a/crates/target/src/watch.rs
+++ b/crates/target/src/watch.rs
@@ -166,7 +166,7 @@
 /// Sends one health check, and keeps the connection in `kept` if it can be reused.
 async fn check_once(server: &Server, kept: &mut Option<Connection>, path: String) {
     let target = server.pool.target();
-    let reusable = kept.take().filter(Connection::is_sound);
+    let reusable = kept.take().filter(Connection::is_usable);
     let mut connection = match reusable {
         Some(connection) => connection,
         None => match Connection::open(target).await {
@@ -194,7 +194,7 @@
         Ok(head) => {
             record_health(server, &head);
             while let Ok(Some(_)) = connection.piece().await {}
-            if connection.is_free() {
+            if connection.is_reusable() {
                 *kept = Some(connection);
             }
         }
