--- a/crates/target/src/answer.rs
+++ b/crates/target/src/answer.rs
@@ -1,4 +1,4 @@
-//! A target's answer on its way to the link.
+//! Relays a target's answer to the link.
 
 use std::time::Duration;
 
@@ -12,40 +12,40 @@
 
 use crate::connection::{self, Connection};
 
-/// A body is read first up to this size; see [`Relay::whole_first`].
-const READ_FIRST: usize = 128 << 10;
+/// Bodies up to about this size are buffered; see [`Relay::buffer_first`].
+const BUFFER_SIZE: usize = 128 << 10;
 
-/// A body that takes longer than this is passed on as it comes.
-const READ_FIRST_FOR: Duration = Duration::from_millis(100);
+/// A body that takes longer than this to read is streamed.
+const BUFFER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How an answer's way to the entry ended.
+/// How the relay of an answer ended.
 pub(crate) enum Ended {
-    /// All of it came from the target; a copy is there if it was asked for and small enough.
-    Whole {
-        /// The body.
+    /// The target sent the complete answer.
+    Complete {
+        /// A copy of the body, if one was requested and the body is at most [`MAX_BODY`] long.
         copy: Option<Bytes>,
-        /// The entry took all of it.
-        taken: bool,
+        /// Whether the entry received the complete answer.
+        delivered: bool,
     },
-    /// The target broke off, or paused for too long.
-    Cut(String),
-    /// The entry went away, or its caller takes nothing.
-    Unwanted,
+    /// The target's answer ended early or was malformed, or no byte arrived within the idle timeout.
+    Truncated(String),
+    /// The entry disconnected, or its caller does not read the answer.
+    Abandoned,
 }
 
-/// One answer on its way to one entry.
+/// Relays one answer to one entry.
 pub(crate) struct Relay<'a> {
     pub(crate) sender: &'a mut Sender,
-    /// Longest pause of the target inside the body, and of the entry in taking it.
-    pub(crate) idle: Duration,
-    /// Read on to the end although the entry is gone, and keep a copy.
+    /// Maximum pause of the target in the body, and of the entry in reading it.
+    pub(crate) idle_timeout: Duration,
+    /// Whether to read to the end even if the entry disconnects, and to return a copy.
     pub(crate) keep: bool,
-    /// Read a short body to its end before anything of the answer leaves. An answer that the target
-    /// cuts can then be replaced by another target's, where the request may be repeated.
-    pub(crate) whole_first: bool,
+    /// Whether to read a short body to its end before any of the answer is sent. If the target truncates
+    /// the answer, another target's can then replace it, provided that the request may be repeated.
+    pub(crate) buffer_first: bool,
 }
 
-/// What reading one piece of the body came to.
+/// The result of reading one piece of the body.
 enum Read {
     Data(Bytes),
     End,
@@ -60,9 +60,9 @@
         connection: &mut Connection,
     ) -> Result<Ended, Error> {
         let mut start = BytesMut::new();
-        let until = Instant::now() + READ_FIRST_FOR;
-        let whole = loop {
-            if !self.whole_first || start.len() > READ_FIRST {
+        let until = Instant::now() + BUFFER_TIMEOUT;
+        let complete = loop {
+            if !self.buffer_first || start.len() > BUFFER_SIZE {
                 break false;
             }
             match timeout_at(until, self.read(connection)).await {
@@ -74,43 +74,43 @@
         };
         let start = start.freeze();
         self.sender.push(&Frame::Reply(reply.clone()))?;
-        let mut taken = true;
+        let mut delivered = true;
         if !start.is_empty()
-            && let Some(ended) = self.write(start.clone(), &mut taken).await?
+            && let Some(ended) = self.write(start.clone(), &mut delivered).await?
         {
             return Ok(ended);
         }
-        let copy = match whole {
+        let copy = match complete {
             true => self.keep.then_some(start),
             false => {
                 let mut copy = self.keep.then(|| BytesMut::from(&start[..]));
-                if let Some(ended) = self.stream(connection, &mut copy, &mut taken).await? {
+                if let Some(ended) = self.stream(connection, &mut copy, &mut delivered).await? {
                     return Ok(ended);
                 }
                 copy.map(BytesMut::freeze)
             }
         };
-        if taken {
-            // It leaves when the sender is finished.
+        if delivered {
+            // It is sent when the sender is finished.
             self.sender.push(&Frame::End)?;
         }
-        Ok(Ended::Whole { copy, taken })
+        Ok(Ended::Complete { copy, delivered })
     }
 
-    /// Streams the rest of a body that was too large or too slow to be read first. What the sender's
-    /// buffer holds leaves as soon as the target has nothing ready.
+    /// Streams the rest of a body that was too large or too slow to be buffered. The sender's buffer is
+    /// flushed whenever no data of the target is ready.
     async fn stream(
         &mut self,
         connection: &mut Connection,
         copy: &mut Option<BytesMut>,
-        taken: &mut bool,
+        delivered: &mut bool,
     ) -> Result<Option<Ended>, Error> {
         loop {
             let ready = connection.piece().now_or_never();
             let read = match ready {
                 Some(piece) => read_of(piece),
                 None => {
-                    if *taken && let Some(ended) = self.write(Bytes::new(), taken).await? {
+                    if *delivered && let Some(ended) = self.write(Bytes::new(), delivered).await? {
                         return Ok(Some(ended));
                     }
                     self.read(connection).await
@@ -122,7 +122,7 @@
                 Read::Stop(ended) => return Ok(Some(ended)),
             };
             *copy = copy.take().and_then(|copy| grow(copy, &data));
-            if *taken && let Some(ended) = self.write(data, taken).await? {
+            if *delivered && let Some(ended) = self.write(data, delivered).await? {
                 return Ok(Some(ended));
             }
         }
@@ -131,33 +131,38 @@
     async fn read(&mut self, connection: &mut Connection) -> Read {
         let piece = tokio::select! {
             biased;
-            piece = timeout(self.idle, connection.piece()) => piece,
-            // A target that pauses would else keep its slot until `idle`, though nobody waits.
+            piece = timeout(self.idle_timeout, connection.piece()) => piece,
+            // Otherwise a target that pauses would hold its slot until the idle timeout, although no
+            // entry waits for the answer.
             () = self.sender.stopped(), if !self.keep => {
-                return Read::Stop(Ended::Unwanted);
+                return Read::Stop(Ended::Abandoned);
             }
         };
         match piece {
             Ok(piece) => read_of(piece),
-            Err(_) => Read::Stop(Ended::Cut(format!("no byte for {:?}", self.idle))),
+            Err(_) => Read::Stop(Ended::Truncated(format!(
+                "no byte for {:?}",
+                self.idle_timeout
+            ))),
         }
     }
 
-    /// Puts `data` into the buffer, which is written out when it is full; without any, at once.
-    async fn write(&mut self, data: Bytes, taken: &mut bool) -> Result<Option<Ended>, Error> {
+    /// Adds `data` to the sender's buffer, which is flushed when it is full. Empty `data` flushes it at
+    /// once.
+    async fn write(&mut self, data: Bytes, delivered: &mut bool) -> Result<Option<Ended>, Error> {
         let written = match data.is_empty() {
-            true => timeout(self.idle, self.sender.flush()).await,
-            false => timeout(self.idle, self.sender.write(data)).await,
+            true => timeout(self.idle_timeout, self.sender.flush()).await,
+            false => timeout(self.idle_timeout, self.sender.write(data)).await,
         };
         match written {
             Ok(Ok(())) => Ok(None),
             Ok(Err(_)) | Err(_) if self.keep => {
-                *taken = false;
+                *delivered = false;
                 Ok(None)
             }
             Ok(Err(error)) => Err(error),
-            // Callers that read nothing would else keep all slots of the target.
-            Err(_) => Ok(Some(Ended::Unwanted)),
+            // Otherwise callers that don't read could hold all slots of the target.
+            Err(_) => Ok(Some(Ended::Abandoned)),
         }
     }
 }
@@ -166,10 +171,11 @@
     match piece {
         Ok(Some(data)) => Read::Data(data),
         Ok(None) => Read::End,
-        Err(error) => Read::Stop(Ended::Cut(error.to_string())),
+        Err(error) => Read::Stop(Ended::Truncated(error.to_string())),
     }
 }
 
+/// Appends `data` to a copy of the body; `None` if it would exceed [`MAX_BODY`].
 fn grow(mut copy: BytesMut, data: &Bytes) -> Option<BytesMut> {
     if copy.len() + data.len() > MAX_BODY {
         return None;
@@ -178,7 +184,7 @@
     Some(copy)
 }
 
-/// When the target asks to be left alone: a 503 that says when to come back.
+/// The delay that the target asks for in a 503 with `Retry-After`.
 pub(crate) fn shed(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
     if status != StatusCode::SERVICE_UNAVAILABLE {
         return None;
@@ -188,15 +194,15 @@
     Duration::try_from_secs_f64(seconds.get()).ok()
 }
 
-/// Statuses by which a caller is promised that its request has not run.
-const PROMISES: [StatusCode; 4] = [
+/// Statuses that promise a caller that its request has not run.
+const NOT_RUN: [StatusCode; 4] = [
     StatusCode::REQUEST_TIMEOUT,
     StatusCode::MISDIRECTED_REQUEST,
     StatusCode::TOO_MANY_REQUESTS,
     StatusCode::SERVICE_UNAVAILABLE,
 ];
 
-/// Whether an answer of this status promises that the request has not run.
-pub(crate) fn promises(status: StatusCode) -> bool {
-    PROMISES.contains(&status)
+/// Whether an answer with this status promises that the request has not run.
+pub(crate) fn promises_not_run(status: StatusCode) -> bool {
+    NOT_RUN.contains(&status)
 }
--- a/crates/target/src/builder.rs
+++ b/crates/target/src/builder.rs
@@ -1,4 +1,4 @@
-//! The settings of the role beside a target.
+//! Builds a [`Server`] from its settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 use crate::Server;
 
-const HELD: Size = Size::of(8_000_000);
+const MAX_HELD: Size = Size::of(8_000_000);
 const HOLD_FOR: Duration = Duration::from_secs(120);
 
 /// Builds a [`Server`].
@@ -29,16 +29,16 @@
     pub(crate) heartbeats: Option<Heartbeats>,
 }
 
-/// How a target is known that announces itself.
+/// Settings for a target that announces itself by heartbeats.
 #[derive(Clone)]
 pub struct Heartbeats {
     /// The time between two of its heartbeats.
     pub period: Duration,
-    /// The path that answers how it is, if one is known.
+    /// The path of its health checks, if one is known.
     pub health_path: HealthPath,
 }
 
-/// Tells the health path of the targets of the own service.
+/// Returns the health path of the targets of the daemon's own service, if it has one.
 pub type HealthPath = Arc<dyn Fn() -> Option<String> + Send + Sync>;
 
 impl Builder {
@@ -50,49 +50,50 @@
             nests: Table::default(),
             max_depth: Depth(9),
             idle_timeout: Duration::from_secs(60),
-            held: held::Table::new(HELD, HOLD_FOR),
+            held: held::Table::new(MAX_HELD, HOLD_FOR),
             dialect: Dialect::default(),
             heartbeats: None,
         }
     }
 
-    /// Where running calls are entered, for the outbound port to look up.
+    /// The table where running calls are registered, for the outbound port to look up.
     pub fn nests(mut self, nests: Table) -> Builder {
         self.nests = nests;
         self
     }
 
-    /// Deepest nesting that is served; 9 unless set.
+    /// Maximum nesting depth of calls that are served; 9 by default.
     pub fn max_depth(mut self, depth: Depth) -> Builder {
         self.max_depth = depth;
         self
     }
 
-    /// Longest pause inside an answer's body; 60 s unless set.
+    /// Maximum pause in an answer's body; 60 s by default.
     pub fn idle_timeout(mut self, timeout: Duration) -> Builder {
         self.idle_timeout = timeout;
         self
     }
 
-    /// Where answers of requests that may not be repeated are kept; 8 MB for 120 s unless set.
+    /// The table that keeps answers of requests that may not be repeated; 8 MB for 120 s by default.
     pub fn held(mut self, held: held::Table) -> Builder {
         self.held = held;
         self
     }
 
-    /// What headers of requests and answers are called.
+    /// The names of headers in requests and answers.
     pub fn dialect(mut self, dialect: Dialect) -> Builder {
         self.dialect = dialect;
         self
     }
 
-    /// The target announces itself: it gets nothing before it has, or has answered for itself.
+    /// The target announces itself by heartbeats. It gets no requests until a heartbeat or a health
+    /// check has shown that it is ready.
     pub fn heartbeats(mut self, heartbeats: Heartbeats) -> Builder {
         self.heartbeats = Some(heartbeats);
         self
     }
 
-    /// The server.
+    /// Builds the server.
     pub fn build(self) -> Server {
         Server::new(self)
     }
--- a/crates/target/src/call/deliver.rs
+++ b/crates/target/src/call/deliver.rs
@@ -34,7 +34,7 @@
                 self.handle_declined(&head, connection);
                 self.refuse(sender, Cause::Declined, Duration::ZERO).await
             }
-            Verdict::Unfit(cause) => {
+            Verdict::Invalid(cause) => {
                 stats.unfit.inc();
                 run.running.finish(End::Failed { latency });
                 abort(sender, Abort::broken(cause.to_string())).await
@@ -56,9 +56,9 @@
         // the answer is kept for later queries for the token.
         let relay = Relay {
             sender: &mut sender,
-            idle: self.server.idle_timeout,
+            idle_timeout: self.server.idle_timeout,
             keep: self.call.once,
-            whole_first: self.server.heartbeats.is_some(),
+            buffer_first: self.server.heartbeats.is_some(),
         };
         let ended = match relay.run(&reply, &mut connection).await {
             Ok(ended) => ended,
@@ -68,19 +68,23 @@
             }
         };
         match ended {
-            Ended::Whole { copy, taken } => {
+            Ended::Complete { copy, delivered } => {
                 if let (Some(held), Some(body)) = (run.held.take(), copy) {
                     held.done(Answer { reply, body });
                 }
                 self.release(connection);
                 self.finish(run, &head, latency);
-                if taken { sender.finish().await } else { Ok(()) }
+                if delivered {
+                    sender.finish().await
+                } else {
+                    Ok(())
+                }
             }
-            Ended::Unwanted => {
+            Ended::Abandoned => {
                 run.running.finish(End::Cancelled);
                 Ok(())
             }
-            Ended::Cut(cause) => {
+            Ended::Truncated(cause) => {
                 self.server.pool.record_violation();
                 let latency = run.started.elapsed();
                 run.running.finish(End::Failed { latency });
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -1,9 +1,9 @@
-//! The role beside a target: takes calls off the link, passes them through the gate, relays them
-//! to the target, and streams the answer back.
+//! The daemon's role beside a target: receives calls from the link, admits them through the gate,
+//! sends them to the target, and streams the answers back.
 //!
-//! Nothing reaches the target but through [`Server::call`]: it asks the [`gate::Gate`] for a
-//! permit, gets a connection while it holds the permit, and only then dispatches. So a refusal
-//! is certain to stand for a request that the target never saw.
+//! Requests reach the target only through [`Server::call`]. It gets a permit from the
+//! [`gate::Gate`], takes a connection while it holds the permit, and only then dispatches the
+//! request. So a refusal by the gate guarantees that the target never received the request.
 //!
 //! ```
 //! use gate::Gate;
--- a/crates/target/src/stats.rs
+++ b/crates/target/src/stats.rs
@@ -1,26 +1,26 @@
-//! What the role beside a target measures for its operators.
+//! Metrics of the role beside a target.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 
-/// Histograms and counters of one target's daemon; clones share them.
+/// Histograms and counters of one target's daemon; clones share their values.
 #[derive(Debug, Clone)]
 pub struct Stats {
     /// Seconds that requests waited for a slot before they started.
     pub waited: Histogram,
     /// Seconds from the start of a request to the head of its answer.
     pub ran: Histogram,
-    /// Requests that were started while work took much longer than usual at the target.
+    /// Requests that were started during a slowdown of the target.
     pub slow_starts: Counter,
-    /// Requests that ended without a whole answer, and may have run.
+    /// Requests that ended without an answer, and may have run.
     pub lost: Counter,
-    /// Answers that could not be given to a caller.
+    /// Answers that must not be relayed to a caller.
     pub unfit: Counter,
-    /// Requests that the target itself turned away.
+    /// Requests that the target reported not to have run.
     pub declined: Counter,
-    /// Questions after the target's health and load.
+    /// Health checks and pace probes sent to the target.
     pub asked: Counter,
-    /// Heartbeats and leaves that could not be read, or were another writer's; they change nothing.
+    /// Heartbeats and leaves that could not be parsed or came from another sender, and were ignored.
     pub malformed: Counter,
 }
 
--- a/crates/target/src/verdict.rs
+++ b/crates/target/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What an answer's head means for the caller and for the gate.
+//! Classifies an answer by its head, for the caller and for the gate.
 
 use std::time::Duration;
 
@@ -9,38 +9,40 @@
 
 use crate::answer;
 
-/// What an answer's head means for the caller.
+/// How an answer is handled for the caller.
 pub(crate) enum Verdict {
-    /// It is the answer.
+    /// The answer is relayed.
     Pass,
-    /// The target says that it did not run the request.
+    /// The target reports that it did not run the request.
     Declined,
-    /// It can't be given to a caller: it would promise or confirm what the target did not.
-    Unfit(&'static str),
+    /// The answer must not be relayed: it would promise or confirm something that the target did not.
+    Invalid(&'static str),
 }
 
 impl Verdict {
-    /// What `head` means, where the target has names for it in `dialect`.
+    /// Classifies `head`, as far as `dialect` names the headers that this depends on.
     pub(crate) fn of(dialect: &Dialect, head: &response::Head) -> Verdict {
-        if dialect.not_run.is_some() && answer::promises(head.status) {
-            // Only the target's own mark makes its word a promise: it may have run what it
-            // answers with a bare 503.
+        if dialect.not_run.is_some() && answer::promises_not_run(head.status) {
+            // The status alone is no promise: the target may have run a request that it answers
+            // with a bare 503. Only its own header or status 421 says that it did not.
             let declined = dialect.says_not_run(&head.headers)
                 || head.status == StatusCode::MISDIRECTED_REQUEST;
             return match declined {
                 true => Verdict::Declined,
-                false => Verdict::Unfit("the target refuses without saying that it did not run it"),
+                false => {
+                    Verdict::Invalid("the target refuses without saying that it did not run it")
+                }
             };
         }
         match head.status.is_success() && !dialect.is_signed(&head.headers) {
-            true => Verdict::Unfit("the target's answer is not signed"),
+            true => Verdict::Invalid("the target's answer is not signed"),
             false => Verdict::Pass,
         }
     }
 }
 
-/// What a whole answer with `status` after `latency` tells the gate; `shed` is the time after which
-/// the target asks to be tried again.
+/// The end that the gate records for a complete answer with `status` after `latency`; `shed` is the
+/// delay after which the target asks to be retried.
 pub(crate) fn end(shed: Option<Duration>, status: StatusCode, latency: Duration) -> End {
     match shed {
         Some(after) => End::Shed {
