--- a/crates/gate/tests/all/admission.rs
+++ b/crates/gate/tests/all/admission.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 use unit::Urgency;
 
-use crate::kit::{answer, cause, events, ms, request, run, start, urgent, wait, warm};
+use crate::common::{answer, cause, ms, next_events, request, run, start, urgent, wait, warm};
 
 /// A warm core with `slots` slots of 10 ms each, without a law that changes them.
 fn fixed(slots: u16, now: &mut Instant) -> Core {
@@ -189,7 +189,7 @@
     let deadline = now + ms(100);
     let short = within(ms(100), now, request(now, 2, "desk@clinic"));
     let id = wait(&mut core, now, short);
-    let events = events(&mut core, &mut now);
+    let events = next_events(&mut core, &mut now);
     assert!(matches!(&events[..], [Event::Refuse { id: other, refusal }]
         if *other == id && refusal.cause() == Cause::Deadline));
     assert!(now <= deadline - ms(10) && now >= deadline - ms(30));
@@ -295,7 +295,7 @@
     let second = wait(&mut core, now, request(now, 31, "desk@clinic"));
     let begin = now;
     let started = Event::Start { id: probe };
-    assert_eq!(events(&mut core, &mut now), [started]);
+    assert_eq!(next_events(&mut core, &mut now), [started]);
     assert_eq!(now - begin, ms(80));
     core.dispatch(now, probe);
     now += ms(10);
--- a/crates/gate/tests/all/fresh.rs
+++ b/crates/gate/tests/all/cold_start.rs
@@ -3,7 +3,7 @@
 use gate::{Builder, Cause, Core, Law, Request, Verdict};
 use tokio::time::Instant;
 
-use crate::kit::{ms, request, start, wait};
+use crate::common::{ms, request, start, wait};
 
 const SLOTS: u16 = 7;
 
@@ -87,7 +87,7 @@
     for token in 0..3 {
         let id = start(&mut core, now, with_goal(now, 100 + token, 9, 1_000));
         now += ms(2);
-        crate::kit::answer(&mut core, now, id, ms(2));
+        crate::common::answer(&mut core, now, id, ms(2));
     }
     for token in 0..u128::from(USED) {
         start(&mut core, now, with_goal(now, token, 3, 1_000));
--- a/crates/gate/tests/all/kit.rs
+++ b/crates/gate/tests/all/common.rs
@@ -80,7 +80,7 @@
 }
 
 /// A suspicion as another gate sends it.
-pub fn heard(kind: u128, convicted: bool, learnt: bool) -> Suspicion {
+pub fn suspicion(kind: u128, convicted: bool, learnt: bool) -> Suspicion {
     Suspicion {
         kind: Digest(kind),
         crashes: 1,
@@ -91,7 +91,7 @@
 }
 
 /// Lets the time pass until something happens to a waiting request.
-pub fn events(core: &mut Core, now: &mut Instant) -> Vec<Event> {
+pub fn next_events(core: &mut Core, now: &mut Instant) -> Vec<Event> {
     for _ in 0..1000 {
         *now = core.next_timer(*now).expect("a request waits");
         let events = core.poll(*now);
--- a/crates/gate/tests/all/invariant.rs
+++ b/crates/gate/tests/all/invariant.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::kit::{heard, ms};
+use crate::common::{ms, suspicion};
 use gate::{Builder, Cause, Core, End, Event, Fence, Id, Refusal, Request, Verdict};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -125,8 +125,8 @@
             Op::Down => self.core.target_down(now),
             Op::Up => self.core.target_up(now),
             Op::Learn(kind) => {
-                let heard = heard(kind.into(), kind % 7 == 0, false);
-                self.core.learn(now, &heard);
+                let suspicion = suspicion(kind.into(), kind % 7 == 0, false);
+                self.core.learn(now, &suspicion);
             }
         }
         self.settle();
@@ -366,13 +366,13 @@
     fn no_member_starves(callers in proptest::collection::vec(0u8..12, 2..200)) {
         let now = Instant::now();
         let mut core = Builder::new(1).core(now);
-        let first = crate::kit::start(&mut core, now, crate::kit::request(now, 0, "first"));
+        let first = crate::common::start(&mut core, now, crate::common::request(now, 0, "first"));
         let mut asked = BTreeMap::new();
         let mut members = BTreeSet::new();
         for (at, caller) in callers.iter().enumerate() {
             let name = format!("desk-{}@member-{}", caller % 3, caller / 3);
-            let request = crate::kit::request(now, at as u128 + 1, &name);
-            asked.insert(crate::kit::wait(&mut core, now, request), caller / 3);
+            let request = crate::common::request(now, at as u128 + 1, &name);
+            asked.insert(crate::common::wait(&mut core, now, request), caller / 3);
             members.insert(caller / 3);
         }
         let mut starts: BTreeMap<u8, usize> = BTreeMap::new();
--- a/crates/gate/tests/all/law.rs
+++ b/crates/gate/tests/all/law.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use unit::Urgency;
 
-use crate::kit::{ms, request};
+use crate::common::{ms, request};
 
 const DEADLINE: Duration = ms(200);
 const SERVICE: f64 = 0.010;
--- a/crates/gate/tests/all/main.rs
+++ b/crates/gate/tests/all/main.rs
@@ -1,11 +1,11 @@
 //! Tests of the gate: what always holds, what each mechanism is for, and the guards.
 
 mod admission;
-mod fresh;
+mod cold_start;
+mod common;
 mod invariant;
-mod kit;
 mod law;
 mod shell;
-mod spell;
+mod slowdown;
 mod suspect;
 mod token;
--- a/crates/gate/tests/all/shell.rs
+++ b/crates/gate/tests/all/shell.rs
@@ -4,7 +4,7 @@
 use tokio::time::{Instant, timeout};
 use unit::Token;
 
-use crate::kit::{ms, request};
+use crate::common::{ms, request};
 
 fn ask(token: u128) -> Request {
     request(Instant::now(), token, "desk@clinic")
--- a/crates/gate/tests/all/spell.rs
+++ b/crates/gate/tests/all/slowdown.rs
@@ -4,7 +4,7 @@
 use tokio::time::Instant;
 use unit::Token;
 
-use crate::kit::{answer, cause, ms, request, start, wait};
+use crate::common::{answer, cause, ms, request, start, wait};
 
 const CLASS: u32 = 7;
 
--- a/crates/gate/tests/all/suspect.rs
+++ b/crates/gate/tests/all/suspect.rs
@@ -4,7 +4,7 @@
 use tokio::time::Instant;
 use unit::Digest;
 
-use crate::kit::{answer, cause, events, heard, ms, request, start, wait, warm};
+use crate::common::{answer, cause, ms, next_events, request, start, suspicion, wait, warm};
 
 const KILLER: Digest = Digest(0xdead);
 const INNOCENT: Digest = Digest(0xbeef);
@@ -174,7 +174,7 @@
     let suspect = wait(&mut core, now, of(KILLER, request(now, 2, "bad@yard")));
     let clerk = wait(&mut core, now, request(now, 3, "clerk@court"));
     let begin = now;
-    let events = events(&mut core, &mut now);
+    let events = next_events(&mut core, &mut now);
     assert!(now - begin <= ms(250));
     let [Event::Refuse { id, refusal }, Event::Start { id: next }] = &events[..] else {
         panic!("expected a refusal and a start, got {events:?}");
@@ -190,9 +190,9 @@
 fn suspicion_is_learnt_from_other_gates() {
     let now = Instant::now();
     let mut core = Builder::new(4).core(now);
-    core.learn(now, &heard(1, false, false));
-    core.learn(now, &heard(2, true, false));
-    core.learn(now, &heard(3, true, true));
+    core.learn(now, &suspicion(1, false, false));
+    core.learn(now, &suspicion(2, true, false));
+    core.learn(now, &suspicion(3, true, true));
     let known = core.suspects(now);
     assert_eq!(known.len(), 2);
     assert!(known.iter().all(|suspicion| suspicion.learnt));
--- a/crates/gate/tests/all/token.rs
+++ b/crates/gate/tests/all/token.rs
@@ -4,7 +4,7 @@
 use tokio::time::Instant;
 use unit::{Outcome, Token};
 
-use crate::kit::{cause, ms, request, start, wait};
+use crate::common::{cause, ms, request, start, wait};
 
 /// An entry loses its link while its request is on the way and asks after the token. The gate
 /// has not seen it; told "not run", the entry may try elsewhere. Then the late frame comes in. It
