--- a/crates/gate/tests/all/admission.rs
+++ b/crates/gate/tests/all/admission.rs
@@ -1,4 +1,4 @@
-//! Who gets a slot, who waits, and who is refused.
+//! Which requests get a slot, which wait, and which are refused.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use crate::common::{answer, cause, ms, next_events, request, run, start, urgent, wait, warm};
 
-/// A warm core with `slots` slots of 10 ms each, without a law that changes them.
+/// A warm core with a service time of 10 ms and a limit that stays at `slots`.
 fn fixed(slots: u16, now: &mut Instant) -> Core {
     let mut core = Builder::new(slots)
         .wait(ms(2000))
@@ -18,16 +18,16 @@
     core
 }
 
-fn within(life: Duration, now: Instant, request: Request) -> Request {
-    let deadline = now + life;
+fn with_timeout(timeout: Duration, now: Instant, request: Request) -> Request {
+    let deadline = now + timeout;
     Request {
         deadline,
         ..request
     }
 }
 
-/// Ends `running` after 10 ms; returns what started.
-fn next(core: &mut Core, now: &mut Instant, running: Id) -> Id {
+/// Ends `running` after 10 ms and returns the one request that starts then.
+fn start_next(core: &mut Core, now: &mut Instant, running: Id) -> Id {
     *now += ms(10);
     let events = answer(core, *now, running, ms(10));
     let [Event::Start { id }] = events[..] else {
@@ -37,9 +37,10 @@
     id
 }
 
-/// A member sends ten times what its neighbours send, all at once. A neighbour's clerk asks
-/// after that. In a plain queue the clerk would wait for the whole batch; here its request is
-/// the next start, as its member has had nothing yet.
+/// A member sends ten times as many requests as its neighbours, all at once, and a neighbour's
+/// caller sends its own after that. In a FIFO queue the caller would wait for the whole batch. Its
+/// member has had no start yet, so its first request must wait for at most one of the batch, and
+/// the starts must then alternate.
 #[test]
 fn batch_delays_a_neighbour_by_one_start() {
     let mut now = Instant::now();
@@ -54,7 +55,7 @@
         .collect();
     let mut starts = Vec::new();
     for _ in 0..9 {
-        running = next(&mut core, &mut now, running);
+        running = start_next(&mut core, &mut now, running);
         starts.push(running);
     }
     for (at, clerk) in clerks.iter().enumerate() {
@@ -63,10 +64,11 @@
     }
 }
 
-/// A member of weight 3 and one of weight 1 both have much to do. Starts go three to one, and
-/// the two callers of the first take turns though one of them asked for everything first.
+/// A member of weight 3 and one of weight 1 both have many requests waiting. Starts are shared
+/// three to one, and the two callers of the first member alternate although one of them sent all
+/// its requests before the other.
 #[test]
-fn weights_share_and_callers_take_turns() {
+fn starts_follow_weights_and_callers_alternate() {
     let mut now = Instant::now();
     let mut core = fixed(1, &mut now);
     let mut running = start(&mut core, now, request(now, 1, "first"));
@@ -76,27 +78,27 @@
         for i in 0..12 {
             let token = 100 * (place as u128 + 1) + i;
             let weight = if name.ends_with("big") { 3 } else { 1 };
-            let ask = Request {
+            let request = Request {
                 weight,
                 ..request(now, token, name)
             };
-            ids[place].push(wait(&mut core, now, ask));
+            ids[place].push(wait(&mut core, now, request));
         }
     }
     let mut counts = [0, 0, 0];
     for _ in 0..16 {
-        running = next(&mut core, &mut now, running);
+        running = start_next(&mut core, &mut now, running);
         let place = ids.iter().position(|ids| ids.contains(&running));
         counts[place.expect("it waited")] += 1;
     }
     assert_eq!(counts, [6, 6, 4]);
 }
 
-/// A member's batch has filled the queue. A quiet neighbour asks; refused as "full", it would
-/// suffer for the batch. The newest request of the batch makes room instead, and is told that it
-/// has not run. The batcher itself finds the queue full.
+/// A member's batch has filled the queue, and a neighbour with nothing in it sends a request.
+/// Refusing that request would make the neighbour pay for the batch. The newest request of the
+/// batch is evicted instead, as not run. Further requests of the batch's member are refused.
 #[test]
-fn full_queue_drops_from_the_longest() {
+fn full_queue_evicts_from_the_largest_share() {
     let mut now = Instant::now();
     let mut core = Builder::new(1).queue(5).core(now);
     warm(&mut core, &mut now, 20, ms(1));
@@ -118,11 +120,11 @@
     assert!(refusal.retry_after() > ms(0));
 }
 
-/// Routine work has taken what slots it may. An urgent call comes: with all slots taken it would
-/// wait for a routine run to end. One slot of ten is kept while urgent calls come now and then,
-/// and given back a second after the last one.
+/// Routine requests hold all slots that they may use when an urgent request arrives. If they held
+/// every slot, it would wait for a routine run to end. One slot of ten is therefore reserved while
+/// urgent requests arrive now and then, and released one second after the last one.
 #[test]
-fn urgent_finds_reserved_room() {
+fn urgent_request_starts_in_the_reserved_slot() {
     let mut now = Instant::now();
     let mut core = fixed(10, &mut now);
     let court = start(&mut core, now, urgent(now, 1, "clerk@court"));
@@ -138,8 +140,8 @@
     }
 }
 
-/// Routine work never ends, and a batch request waits behind it. By strict precedence it would
-/// wait for ever; one start in sixteen goes to the urgency that was passed over.
+/// A batch request waits while routine requests never run out. With strict priorities it would
+/// wait for ever. One start in sixteen goes to the urgency that was passed over.
 #[test]
 fn batch_work_is_not_starved() {
     let mut now = Instant::now();
@@ -154,23 +156,23 @@
         wait(&mut core, now, request(now, token, "desk@clinic"));
     }
     for order in 1..=16 {
-        running = next(&mut core, &mut now, running);
+        running = start_next(&mut core, &mut now, running);
         assert_eq!(running == batch, order == 16, "start {order}");
     }
 }
 
-/// Ten requests of 10 ms wait at one slot, and another with 60 ms to live asks. Queued, it would
-/// be told at its deadline, too late to ask elsewhere; it is refused at once with the time to
-/// come back. With 500 ms to live it waits.
+/// Ten requests of 10 ms wait for one slot when a request arrives that is due in 60 ms. If it were
+/// queued, its caller would learn at the deadline that it did not run, too late to try another
+/// target. It is refused at once, with a retry delay. A request that is due in a second waits.
 #[test]
-fn hopeless_wait_is_refused_at_once() {
+fn wait_beyond_the_deadline_is_refused_at_once() {
     let mut now = Instant::now();
     let mut core = fixed(1, &mut now);
     start(&mut core, now, request(now, 1, "first"));
     for token in 2..12 {
         wait(&mut core, now, request(now, token, "desk@clinic"));
     }
-    let short = within(ms(60), now, request(now, 20, "desk@clinic"));
+    let short = with_timeout(ms(60), now, request(now, 20, "desk@clinic"));
     let Verdict::Refuse(refusal) = core.offer(now, short) else {
         panic!("expected a refusal");
     };
@@ -179,15 +181,16 @@
     wait(&mut core, now, request(now, 21, "desk@clinic"));
 }
 
-/// A request waits with 100 ms to live, and the run before it hangs. It is refused as soon as
-/// what is left is less than a run takes, not at its deadline: its caller can still go elsewhere.
+/// A request that is due in 100 ms waits behind a run that hangs. It is refused as soon as the time
+/// left is shorter than a run, not at its deadline, so that its caller can still try another
+/// target.
 #[test]
-fn waiting_request_is_given_up_before_its_deadline() {
+fn waiting_request_is_refused_before_its_deadline() {
     let mut now = Instant::now();
     let mut core = fixed(1, &mut now);
     start(&mut core, now, request(now, 1, "first"));
     let deadline = now + ms(100);
-    let short = within(ms(100), now, request(now, 2, "desk@clinic"));
+    let short = with_timeout(ms(100), now, request(now, 2, "desk@clinic"));
     let id = wait(&mut core, now, short);
     let events = next_events(&mut core, &mut now);
     assert!(matches!(&events[..], [Event::Refuse { id: other, refusal }]
@@ -195,25 +198,25 @@
     assert!(now <= deadline - ms(10) && now >= deadline - ms(30));
 }
 
-/// The target slows down so far that no request can meet its deadline by the estimate. If all
-/// were refused, no answer could ever correct it and the gate would stay shut after the target
-/// is well. An idle target is always tried.
+/// The target slows down until, by the estimated run time, no request can meet its deadline. If all
+/// requests were refused, no answer could correct the estimate, and the gate would stay closed
+/// after the target has recovered. A request to an idle target therefore always starts.
 #[test]
-fn estimate_can_not_shut_the_gate_for_ever() {
+fn high_estimate_does_not_close_the_gate_for_ever() {
     let mut now = Instant::now();
     let mut core = fixed(1, &mut now);
     warm(&mut core, &mut now, 1, ms(800));
     for token in 1..60 {
-        let short = within(ms(30), now, request(now, token, "desk@clinic"));
+        let short = with_timeout(ms(30), now, request(now, token, "desk@clinic"));
         run(&mut core, &mut now, short, ms(10));
     }
     assert!(core.report(now).service_us < 12_000);
 }
 
-/// The target answers 503 with a long `Retry-After`. Starts pause for a second at most, those
-/// that can't wait so long are told "shed" at once, and the limit is lower afterwards.
+/// The target answers 503 with a long `Retry-After`. Starts pause for at most one second, requests
+/// that can't wait that long are refused at once with the cause `Shed`, and the limit is lowered.
 #[test]
-fn shedding_pauses_and_shrinks() {
+fn shedding_pauses_starts_and_lowers_the_limit() {
     let mut now = Instant::now();
     let mut core = Builder::new(8).wait(ms(2000)).core(now);
     warm(&mut core, &mut now, 20, ms(10));
@@ -226,18 +229,18 @@
         cause(&mut core, now, request(now, 2, "desk@clinic")),
         Cause::Shed
     );
-    let patient = within(ms(3000), now, request(now, 3, "desk@clinic"));
+    let patient = with_timeout(ms(3000), now, request(now, 3, "desk@clinic"));
     let id = wait(&mut core, now, patient);
     assert_eq!(core.next_timer(now), Some(now + ms(1000)));
     now += ms(1000);
     assert_eq!(core.poll(now), [Event::Start { id }]);
 }
 
-/// The target's connection is gone. Requests that wait for it would wait in vain; they and new
-/// ones are refused at once. When it is back it is cold: it gets a quarter of its slots, and
-/// more with each answer.
+/// The connection to the target is lost. Waiting and new requests are refused at once, because
+/// they could only wait until their deadlines. After the target has reconnected it is cold: its
+/// limit is a quarter of its slots and grows with each answer.
 #[test]
-fn target_down_refuses_and_comes_back_slowly() {
+fn target_down_refuses_and_recovers_gradually() {
     let mut now = Instant::now();
     let mut core = Builder::new(8).core(now);
     warm(&mut core, &mut now, 20, ms(10));
@@ -263,8 +266,8 @@
     assert_eq!(core.report(now).limit, 8);
 }
 
-/// An export of 30 s runs beside short look-ups. Held for a stuck target, it would close the
-/// gate to them; they go on.
+/// An export of 30 s runs beside short look-ups. If the gate took it for a sign that the target has
+/// stalled, it would lower the limit and refuse the look-ups. They must still start.
 #[test]
 fn long_run_does_not_close_the_gate() {
     let mut now = Instant::now();
@@ -275,16 +278,16 @@
     core.poll(now);
     assert_eq!(core.report(now).limit, 10);
     for token in 2..20 {
-        let short = within(ms(50), now, request(now, token, "desk@clinic"));
+        let short = with_timeout(ms(50), now, request(now, token, "desk@clinic"));
         run(&mut core, &mut now, short, ms(10));
     }
 }
 
-/// The target was slow ten times over and its limit is down to one slot, which a run from the bad
-/// time still holds. The target is well again, but nothing can tell as long as the run hangs. A
-/// probe starts beside it after eight usual service times; its quick answer lets the next start.
+/// The target was ten times as slow as usual, and its limit is down to one slot, which a run from
+/// that time still holds. The target has recovered, but no answer can show it while the run hangs.
+/// A probe starts beside it after eight usual service times; its quick answer lets the next start.
 #[test]
-fn probe_passes_a_hung_run() {
+fn probe_starts_beside_a_hung_run() {
     let mut now = Instant::now();
     let mut core = Builder::new(4).core(now);
     warm(&mut core, &mut now, 100, ms(10));
@@ -305,11 +308,11 @@
     );
 }
 
-/// Urgent calls were slow for a while, and now each has less to live than they took. They are
-/// refused while that is fresh; but routine work keeps the target busy, so it is never idle, and
-/// no urgent answer could ever correct the estimate. After a second it counts no more.
+/// Urgent requests were slow for a while, and new ones are due sooner than those took. They are
+/// refused while the estimate is recent. Routine requests keep the target from being idle, so no
+/// urgent answer could ever correct the estimate. It is therefore ignored after one second.
 #[test]
-fn old_estimate_refuses_nothing() {
+fn stale_estimate_refuses_nothing() {
     let mut now = Instant::now();
     let mut core = fixed(4, &mut now);
     for token in 0..20 {
@@ -317,14 +320,14 @@
         run(&mut core, &mut now, slow, ms(100));
     }
     start(&mut core, now, request(now, 50, "desk@clinic"));
-    let short = |now, token| within(ms(60), now, urgent(now, token, "clerk@court"));
+    let short = |now, token| with_timeout(ms(60), now, urgent(now, token, "clerk@court"));
     assert_eq!(cause(&mut core, now, short(now, 60)), Cause::Deadline);
     now += ms(1000);
     start(&mut core, now, short(now, 61));
 }
 
-/// The target answers in no time, and sheds now and then. Measured against a usual time of
-/// nothing, each start would pass for a probe that is due, over any limit.
+/// The target answers in 0 ms and sheds now and then. Relative to a usual time of 0 ms, a probe
+/// would always be due, and each request would start as one, beyond any limit.
 #[test]
 fn instant_answers_keep_the_limit() {
     let mut now = Instant::now();
@@ -342,17 +345,21 @@
     wait(&mut core, now, request(now, 3, "desk@clinic"));
 }
 
-/// Three requests hold what the limit lets run, and each waits for a call that it made. Were these
-/// queued behind them, all six would end at their deadlines; they start in the slots beyond the
-/// limit, while a newcomer waits.
+/// The running requests use up the limit, and each waits for a nested call. If the nested calls were
+/// queued behind them, all would end at their deadlines; with a limit of three, all six. Nested
+/// calls start in the slots beyond the limit until every slot is taken, while a request that is not
+/// nested has to wait.
 #[test]
-fn nested_calls_do_not_wait_behind_those_that_wait_for_them() {
+fn nested_calls_do_not_wait_behind_their_parents() {
     let mut now = Instant::now();
     let mut core = Builder::new(10).core(now);
     core.target_down(now);
     core.target_up(now);
     let limit = core.report(now).limit;
-    assert!(limit < 10, "a target that came up is cold: {limit}");
+    assert!(
+        limit < 10,
+        "the target is not cold after it came up: limit {limit}"
+    );
     let mut token = 0;
     let mut held = 0;
     while matches!(
@@ -371,23 +378,24 @@
         };
         start(&mut core, now, nested);
     }
-    let late = Request {
+    let extra = Request {
         nested: true,
         ..request(now, 99, "desk@clinic")
     };
     assert!(
-        !matches!(core.offer(now, late), Verdict::Start(_)),
-        "no slot is left"
+        !matches!(core.offer(now, extra), Verdict::Start(_)),
+        "a nested call started although no slot was free"
     );
     now += ms(1);
     assert_eq!(core.report(now).running, 10);
 }
 
+/// A run at another target waits for a nested call that is due in 180 ms. All six slots here are
+/// taken for 100 ms each, and six requests wait. The nested call starts before those six. A
+/// forecast that put it behind them made four gates in a row refuse it, and the run that waited for
+/// it failed.
 #[test]
-fn a_nested_call_is_expected_to_start_next() {
-    // A run at another target waits for a call with 180 ms left. Here all six slots are taken for 100 ms
-    // each and six requests wait; the call starts before them. Told that it would wait behind them it was
-    // refused, at four gates in a row, and the run that waited for it failed.
+fn nested_call_is_forecast_to_start_next() {
     let mut now = Instant::now();
     let builder = Builder::new(6).law(gate::Law::Knee).reserve(0.0);
     let mut core = builder.isolate_suspects(false).core(now);
