--- a/crates/gate/tests/all/slowdown.rs
+++ b/crates/gate/tests/all/slowdown.rs
@@ -1,4 +1,4 @@
-//! Slow spells of the target, goals, late work, and the knee.
+//! Slowdowns of the target, latency goals, late requests, and the knee.
 
 use gate::{Builder, Cause, Core, End, Event, Gate, Law, Request, Verdict};
 use tokio::time::Instant;
@@ -8,7 +8,7 @@
 
 const CLASS: u32 = 7;
 
-/// A gate before a target that tells its pace, and knows that work of [`CLASS`] takes 60 ms.
+/// A gate whose target reports its pace, and which has learnt that work of [`CLASS`] takes 60 ms.
 fn gate(slots: u16, now: &mut Instant) -> Core {
     let builder = Builder::new(slots).law(Law::Knee).reserve(0.0);
     let mut core = builder.isolate_suspects(false).core(*now);
@@ -35,10 +35,11 @@
     }
 }
 
-/// The target says that work takes five times as long at this moment. A run that starts now takes
-/// its slot for all of that, though the spell is over long before; so it starts when the spell ends.
+/// The target reports that runs take five times as long at present. A run that starts now would
+/// hold its slot for all of that time, although the slowdown ends long before. It must start only
+/// when the slowdown ends.
 #[test]
-fn work_waits_for_the_end_of_a_spell() {
+fn work_waits_for_the_end_of_a_slowdown() {
     let mut now = Instant::now();
     let mut core = gate(4, &mut now);
     core.set_pace(now, 500);
@@ -49,9 +50,9 @@
     assert_eq!(core.poll(now), [Event::Start { id }]);
 }
 
-/// Work that is over before one that waited for the end of the spell starts at once.
+/// A run that ends sooner than if it waited for the end of the slowdown starts at once.
 #[test]
-fn short_work_starts_in_a_spell() {
+fn short_work_starts_during_a_slowdown() {
     let mut now = Instant::now();
     let mut core = gate(4, &mut now);
     for token in 0..10 {
@@ -74,28 +75,28 @@
     assert!(matches!(offered, Verdict::Start(_)), "{offered:?}");
 }
 
-/// A target has become slow for good. Work that waited for the end of its spell would wait until its
-/// deadline, and the target would never be used again.
+/// A target has become permanently slower. Requests that waited for the end of the slowdown would
+/// wait until their deadlines, and the target would never be used again.
 #[test]
-fn a_spell_that_does_not_end_is_the_new_pace() {
+fn permanent_slowdown_is_not_waited_out() {
     let mut now = Instant::now();
     let mut core = gate(4, &mut now);
     core.set_pace(now, 500);
     let id = wait(&mut core, now, of_class(now, 1));
     let began = now;
     while now < began + ms(950) {
-        now = core.next_timer(now).expect("a timer of the spell");
+        now = core.next_timer(now).expect("the slowdown sets a timer");
         if core.poll(now).contains(&Event::Start { id }) {
             return;
         }
     }
-    panic!("it was never started");
+    panic!("the request did not start within 950 ms");
 }
 
-/// A spell begins while requests wait that would miss their goals behind it. They have not run, and
-/// another target may be quick: they are handed back at once.
+/// A slowdown starts while requests wait that would miss their goals if they waited it out. They
+/// have not run, and another target may be quick, so they are refused at once.
 #[test]
-fn what_waits_is_handed_back_when_a_spell_begins() {
+fn slowdown_refuses_waiting_requests_that_would_miss_their_goals() {
     let mut now = Instant::now();
     let mut core = gate(1, &mut now);
     start(&mut core, now, of_class(now, 1));
@@ -104,8 +105,8 @@
     now += ms(5);
     core.set_pace(now, 500);
     let events = core.poll(now);
-    let handed = |event: &Event| matches!(event, Event::Refuse { id, .. } if *id == tight);
-    assert!(events.iter().any(handed), "{events:?}");
+    let refused = |event: &Event| matches!(event, Event::Refuse { id, .. } if *id == tight);
+    assert!(events.iter().any(refused), "{events:?}");
     assert!(
         !events
             .iter()
@@ -113,10 +114,10 @@
     );
 }
 
-/// A request that can't be answered within its goal here is refused before it waits: its caller, or
-/// another gate, can still do something with the time.
+/// A request that can't be answered within its goal here is refused before it waits, while its
+/// caller or another gate can still use the time that is left.
 #[test]
-fn what_would_miss_its_goal_is_refused_at_once() {
+fn request_that_would_miss_its_goal_is_refused_at_once() {
     let mut now = Instant::now();
     let mut core = gate(1, &mut now);
     start(&mut core, now, of_class(now, 1));
@@ -124,11 +125,11 @@
     wait(&mut core, now, with_goal(now, 3, 400));
 }
 
-/// A request has waited until it can't reach its goal, while others wait that still can. Run before
-/// them it makes them late in turn: of 1,000 look-ups in an overload 152 ended late so, and used a
-/// quarter of the slots' time. Its caller hears at once that it has not run.
+/// A request has waited until it can't meet its goal, while others wait that still can. If it ran
+/// before them, it would make them late in turn: in an overload, 152 of 1,000 look-ups ended late
+/// for this reason and used a quarter of the slots' time. It is refused at once, as not run.
 #[test]
-fn what_has_become_late_is_refused_while_others_wait() {
+fn late_request_is_refused_while_others_wait() {
     let mut now = Instant::now();
     let mut core = gate(1, &mut now);
     let running = start(&mut core, now, of_class(now, 1));
@@ -141,9 +142,10 @@
     assert!(events.contains(&Event::Start { id: easy }), "{events:?}");
 }
 
-/// The same where nothing else waits: a late answer is worth a little, and takes a slot from nobody.
+/// As above, but nothing else waits. A late answer is still worth a little, and its run takes a
+/// slot from no other request.
 #[test]
-fn what_has_become_late_is_served_where_nothing_else_waits() {
+fn late_request_starts_if_nothing_else_waits() {
     let mut now = Instant::now();
     let mut core = gate(1, &mut now);
     let running = start(&mut core, now, of_class(now, 1));
@@ -153,9 +155,15 @@
     assert!(events.contains(&Event::Start { id: tight }), "{events:?}");
 }
 
-/// Runs of `count` at once, of which those from `knee` on take 1.65 times as long. The callers of what
-/// waits leave.
-fn load(core: &mut Core, now: &mut Instant, count: usize, knee: usize, token: &mut u128) {
+/// Starts up to `count` requests at once and cancels those that wait. Runs that start beside `knee`
+/// others or more take 1.65 times as long.
+fn run_concurrently(
+    core: &mut Core,
+    now: &mut Instant,
+    count: usize,
+    knee: usize,
+    token: &mut u128,
+) {
     let mut held = Vec::new();
     let mut waiting = Vec::new();
     for _ in 1..=count {
@@ -165,21 +173,21 @@
             Verdict::Wait(id) => waiting.push(id),
             Verdict::Refuse(_) => {}
         }
-        let begun = core.poll(*now).into_iter();
-        held.extend(begun.filter_map(|event| match event {
+        let started = core.poll(*now).into_iter();
+        held.extend(started.filter_map(|event| match event {
             Event::Start { id } => Some(id),
             Event::Refuse { .. } => None,
         }));
-        core.dispatch(*now, *held.last().expect("one runs"));
+        core.dispatch(*now, *held.last().expect("a request holds a slot"));
     }
     for id in waiting {
         core.cancel(*now, id);
     }
-    let slow = |among: usize| if among >= knee { 165 } else { 100 };
+    let percent = |others: usize| if others >= knee { 165 } else { 100 };
     let held: Vec<_> = held.into_iter().enumerate().collect();
     let held = held
         .into_iter()
-        .map(|(among, id)| (id, ms(60 * slow(among) / 100)));
+        .map(|(others, id)| (id, ms(60 * percent(others) / 100)));
     for (id, work) in held {
         core.record_work(*now, id, work);
         core.finish(*now, id, End::Answered { latency: work });
@@ -188,37 +196,40 @@
     *now += ms(100);
 }
 
-/// The target takes 1.65 times as long for what it starts beside nine others or more. Eleven at once
-/// are 6.7 runs in the time of one, nine are nine: the gate keeps two slots free.
+/// The target takes 1.65 times as long for runs that start beside nine others or more. Eleven
+/// concurrent runs complete as much as 6.7 runs at the usual time, while nine complete nine, so the
+/// gate keeps two slots free.
 #[test]
-fn slots_behind_the_knee_are_kept_free() {
+fn slots_above_the_knee_stay_free() {
     let mut now = Instant::now();
     let mut core = gate(11, &mut now);
     let mut token = 5_000;
     for _ in 0..60 {
-        load(&mut core, &mut now, 11, 9, &mut token);
+        run_concurrently(&mut core, &mut now, 11, 9, &mut token);
     }
     assert_eq!(core.report(now).limit, 9);
 }
 
-/// A target without a knee keeps all its slots, also after it was slow as a whole for a while.
+/// A target without a knee keeps all its slots, even after it was slow at all levels of concurrency
+/// for a while.
 #[test]
-fn a_target_without_knee_keeps_its_slots() {
+fn target_without_a_knee_keeps_its_slots() {
     let mut now = Instant::now();
     let mut core = gate(11, &mut now);
     let mut token = 5_000;
     for _ in 0..60 {
-        load(&mut core, &mut now, 11, 99, &mut token);
+        run_concurrently(&mut core, &mut now, 11, 99, &mut token);
     }
     for _ in 0..60 {
-        load(&mut core, &mut now, 11, 0, &mut token);
+        run_concurrently(&mut core, &mut now, 11, 0, &mut token);
     }
     assert_eq!(core.report(now).limit, 11);
 }
 
-/// The target leaves, and another life takes its place with other slots: it gets work again.
+/// The target leaves, and its next life has a different number of slots. The gate must admit
+/// requests to it again, up to the new number.
 #[test]
-fn a_new_life_of_the_target_is_served() {
+fn next_life_of_a_target_gets_requests() {
     let mut now = Instant::now();
     let mut core = gate(4, &mut now);
     core.leave(now);
@@ -229,38 +240,41 @@
     wait(&mut core, now, of_class(now, 4));
 }
 
+/// Watchers of the condition are notified when the target becomes slow or unreachable, but not of a
+/// new pace that is still slow.
 #[tokio::test(start_paused = true)]
-async fn turns_of_the_target_are_told() {
+async fn watchers_are_notified_of_a_changed_condition() {
     let gate = Gate::builder(4).build();
     let mut condition = gate.condition();
     gate.set_pace(500);
-    assert!(condition.has_changed().expect("the gate lives"));
+    assert!(condition.has_changed().expect("the gate exists"));
     assert!(condition.borrow_and_update().slow);
     gate.set_pace(450);
     assert!(
-        !condition.has_changed().expect("the gate lives"),
-        "still slow"
+        !condition.has_changed().expect("the gate exists"),
+        "notified although the target is still slow"
     );
     gate.target_down();
     assert!(condition.borrow_and_update().closed);
 }
 
-fn with_choice(request: Request) -> Request {
+fn with_alternative(request: Request) -> Request {
     Request {
         elsewhere: true,
         ..request
     }
 }
 
-/// A slow spell is told of while a request has a slot and its connection is made. A run takes its time
-/// from its start, five times as long; the request waits for the end of the spell instead, and its slot
-/// is free.
+/// A slowdown is reported after a request got its slot and before it is dispatched, for example
+/// while its connection is set up. Dispatched now, the run would take five times as long. The
+/// request must release its slot and wait for the end of the slowdown, or be refused if it would
+/// miss its goal.
 #[test]
-fn a_spell_told_of_before_the_start_is_waited_out() {
+fn slowdown_reported_before_dispatch_is_waited_out() {
     let mut now = Instant::now();
     let mut core = gate(4, &mut now);
     let Verdict::Start(id) = core.offer(now, of_class(now, 1)) else {
-        panic!("a free slot");
+        panic!("no slot is free");
     };
     core.set_pace(now, 500);
     assert_eq!(core.reconsider(now, id), Verdict::Wait(id));
@@ -271,72 +285,73 @@
     assert_eq!(core.reconsider(now, id), Verdict::Start(id));
     assert!(core.dispatch(now, id));
     let Verdict::Start(tight) = core.offer(now, with_goal(now, 2, 100)) else {
-        panic!("a free slot");
+        panic!("no slot is free");
     };
     core.set_pace(now, 500);
     let verdict = core.reconsider(now, tight);
     assert!(matches!(verdict, Verdict::Refuse(_)), "{verdict:?}");
 }
 
-/// The entry knows of a quick target, and this one is in a spell. Waiting here would cost the request
-/// 100 ms, the way there costs 3: it is handed back, before it waits, while it waits, and when it has a
-/// slot; also a nested call, which would else start in the spell.
+/// The entry knows a quick target, and this one is in a slowdown. Waiting here would cost the
+/// request 100 ms, while the network delay to the other target is 3 ms. It is refused whether it
+/// has just arrived, waits, or holds a slot. So is a nested call, which would otherwise start
+/// during the slowdown.
 #[test]
-fn in_a_spell_work_is_handed_back_for_a_quick_target() {
+fn slowdown_refuses_requests_with_a_quick_target_elsewhere() {
     let mut now = Instant::now();
     let mut core = gate(1, &mut now);
-    let Verdict::Start(running) = core.offer(now, with_choice(of_class(now, 1))) else {
-        panic!("a free slot");
+    let Verdict::Start(running) = core.offer(now, with_alternative(of_class(now, 1))) else {
+        panic!("no slot is free");
     };
-    let waiting = wait(&mut core, now, with_choice(with_goal(now, 2, 900)));
+    let waiting = wait(&mut core, now, with_alternative(with_goal(now, 2, 900)));
     now += ms(5);
     core.set_pace(now, 500);
     let events = core.poll(now);
-    let handed = |event: &Event| matches!(event, Event::Refuse { id, .. } if *id == waiting);
-    assert!(events.iter().any(handed), "{events:?}");
+    let refused = |event: &Event| matches!(event, Event::Refuse { id, .. } if *id == waiting);
+    assert!(events.iter().any(refused), "{events:?}");
     let verdict = core.reconsider(now, running);
     assert!(matches!(verdict, Verdict::Refuse(_)), "{verdict:?}");
     let nested = Request {
         nested: true,
-        ..with_choice(of_class(now, 3))
+        ..with_alternative(of_class(now, 3))
     };
     assert_eq!(cause(&mut core, now, nested.clone()), Cause::Full);
-    // Where no quick one is known it stays: to refuse it would waste the run that waits for it.
-    let last = Request {
+    // Without a known quick target it waits: refusing it would waste the run that depends on it.
+    let without_alternative = Request {
         token: Token(4),
         elsewhere: false,
         ..nested
     };
-    wait(&mut core, now, last);
+    wait(&mut core, now, without_alternative);
 }
 
-/// The target turns slow some times a second. What it said a moment ago is as good as new, what it
-/// said a tenth of a second ago may be over, and a start in a spell costs four runs more: it is asked
-/// first. Of a target that never turns slow nothing is asked.
+/// The target becomes slow several times a second. A pace report from 1 ms ago is still valid, but
+/// one from 100 ms ago may be outdated, and a start during a slowdown takes four more run times.
+/// The target must be probed first. A target that never becomes slow is not probed.
 #[test]
-fn a_start_on_old_news_wants_the_targets_word() {
-    for (turns, wanted) in [(true, true), (false, false)] {
+fn start_on_an_old_pace_report_needs_a_probe() {
+    for (slows_down, needs_probe) in [(true, true), (false, false)] {
         let mut now = Instant::now();
         let mut core = gate(4, &mut now);
         for _ in 0..50 {
             now += ms(300);
-            core.set_pace(now, if turns { 500 } else { 100 });
+            core.set_pace(now, if slows_down { 500 } else { 100 });
             now += ms(100);
             core.set_pace(now, 100);
         }
         let Verdict::Start(id) = core.offer(now, of_class(now, 1)) else {
-            panic!("a free slot");
+            panic!("no slot is free");
         };
         assert!(!core.needs_pace_probe(now + ms(1), id));
-        assert_eq!(core.needs_pace_probe(now + ms(100), id), wanted);
+        assert_eq!(core.needs_pace_probe(now + ms(100), id), needs_probe);
     }
 }
 
-/// All targets have just started, and work takes twice as long for some seconds. That is no spell to
-/// wait out: the targets would be idle when they are needed most, for 600 ms each. A spell on top of it
-/// still is one.
+/// All targets have just started, and runs take twice as long for some seconds. If that counted as
+/// a slowdown to wait out, each target would be idle for 600 ms when it is needed most. A slowdown
+/// on top of it still counts as one.
 #[test]
-fn a_cold_target_is_not_in_a_spell() {
+fn cold_target_is_not_in_a_slowdown() {
     let mut now = Instant::now();
     let mut core = gate(4, &mut now);
     core.target_down(now);
@@ -352,11 +367,12 @@
     answer(&mut core, now, running, ms(120));
 }
 
-/// Spells of this target last four times as long as others do. Work that was held back only as long as
-/// usual would start in the middle of them, and one spell in five is longer than that.
+/// Slowdowns of this target last four times as long as those of other targets. Requests that waited
+/// only for the usual length would start in the middle of a slowdown; one in five lasts longer than
+/// that.
 #[test]
-fn how_long_spells_last_is_learnt() {
-    for (length, held) in [(600, true), (75, false)] {
+fn length_of_slowdowns_is_learnt() {
+    for (length, waits) in [(600, true), (75, false)] {
         let mut now = Instant::now();
         let mut core = gate(4, &mut now);
         for _ in 0..30 {
@@ -374,6 +390,6 @@
         let id = wait(&mut core, now, patient);
         now += ms(900);
         let started = core.poll(now).contains(&Event::Start { id });
-        assert_eq!(started, !held, "spells of {length} ms");
+        assert_eq!(started, !waits, "slowdowns of {length} ms");
     }
 }
