--- a/crates/gate/tests/all/cold_start.rs
+++ b/crates/gate/tests/all/cold_start.rs
@@ -1,4 +1,4 @@
-//! Gates that have just started, and know no run time and no pace.
+//! Gates that have just started and know neither the run times nor the pace of their target.
 
 use gate::{Builder, Cause, Core, Law, Request, Verdict};
 use tokio::time::Instant;
@@ -7,8 +7,8 @@
 
 const SLOTS: u16 = 7;
 
-/// The slots that are used before it is known what the target does when it is nearly full.
-const USED: u16 = 5;
+/// Number of slots that are used before it is known how the target behaves when nearly full.
+const INITIAL_SLOTS: u16 = 5;
 
 fn gate(now: Instant) -> Core {
     let builder = Builder::new(SLOTS).law(Law::Knee).reserve(0.0);
@@ -24,63 +24,65 @@
     }
 }
 
+/// After a power failure all machines start at once, and requests arrive before the gates know any
+/// run time. A gate that took an unknown run time for zero started every request during a slowdown.
+/// With the target slow for a quarter of the time, by a factor of five, slots were held for twice
+/// as long as the work takes.
 #[test]
-fn an_unknown_run_is_not_started_in_a_spell() {
-    // All machines have power again, and requests come at once. Gates know no run time. One that took
-    // an unknown run for one of no time started whatever came in a slow spell: with a spell in four,
-    // each five times as long, the slots were taken for twice as long as the work was.
+fn request_of_unknown_run_time_waits_out_a_slowdown() {
     let now = Instant::now();
     let mut core = gate(now);
     core.set_pace(now, 100);
     core.set_pace(now + ms(50), 500);
     let id = wait(&mut core, now + ms(60), with_goal(now, 1, 3, 1_000));
     core.set_pace(now + ms(200), 100);
-    let begun = core.poll(now + ms(200));
-    assert_eq!(begun, [gate::Event::Start { id }]);
+    let started = core.poll(now + ms(200));
+    assert_eq!(started, [gate::Event::Start { id }]);
 }
 
+/// The target reported its pace 100 ms ago and may have become slow since. A request of unknown run
+/// time must not start on that report without a pace probe.
 #[test]
-fn the_target_is_asked_before_an_unknown_run() {
-    // The target told its pace 100 ms ago, and may have turned slow since.
+fn request_of_unknown_run_time_needs_a_pace_probe() {
     let now = Instant::now();
     let mut core = gate(now);
     core.set_pace(now, 100);
     let later = now + ms(100);
     let Verdict::Start(id) = core.offer(later, with_goal(later, 1, 3, 1_000)) else {
-        panic!("it has a slot");
+        panic!("no slot is free");
     };
     assert!(core.needs_pace_probe(later, id));
 }
 
+/// The target has restarted and takes twice the usual time for some seconds. Its first pace report,
+/// 1000, falls into a slowdown. When that was taken for the base pace of the cold target, requests
+/// started at once and took ten times the usual time.
 #[test]
-fn a_cold_target_that_first_tells_of_a_spell_is_waited_for() {
-    // The target has started anew, is half as quick as usual for some seconds, and what it tells first
-    // falls into a spell: 1000. Taken for how quick it is while it is cold, runs took ten times the
-    // usual time.
+fn first_report_in_a_slowdown_is_not_the_base_pace_of_a_cold_target() {
     let now = Instant::now();
     let mut core = gate(now);
     core.set_pace(now, 100);
     core.target_cold();
-    let Verdict::Start(asks) = core.offer(now, with_goal(now, 1, 3, 1_000)) else {
-        panic!("it has a slot");
+    let Verdict::Start(id) = core.offer(now, with_goal(now, 1, 3, 1_000)) else {
+        panic!("no slot is free");
     };
     assert!(
-        core.needs_pace_probe(now, asks),
-        "a target that starts anew is asked"
+        core.needs_pace_probe(now, id),
+        "a restarted target is not probed"
     );
     core.set_pace(now, 1_000);
-    assert!(matches!(core.reconsider(now, asks), Verdict::Wait(_)));
+    assert!(matches!(core.reconsider(now, id), Verdict::Wait(_)));
     core.set_pace(now + ms(150), 200);
-    let begun = core.poll(now + ms(150));
-    assert_eq!(begun, [gate::Event::Start { id: asks }]);
+    let started = core.poll(now + ms(150));
+    assert_eq!(started, [gate::Event::Start { id }]);
 }
 
+/// The slots are filled with long runs, and only a few short ones have been answered. By the mean
+/// of the answers, 2 ms, 36 requests were queued and refused a second later as too late. The goals
+/// of the running requests indicate their run times: five runs of a third of a second free a slot
+/// every 67 ms, so ten waiting requests can meet their goals.
 #[test]
-fn a_queue_behind_unknown_runs_holds_what_can_meet_its_goal() {
-    // The slots are filled with long runs, and some short ones have been answered already. The mean of
-    // the answers said 2 ms, and 36 requests were let in to wait, told after a second that it was too
-    // late. Their goals tell how long such runs take: five runs of a third of a second give back a slot
-    // each 67 ms, and ten that wait can meet theirs.
+fn queue_behind_unknown_runs_admits_only_what_can_meet_its_goal() {
     let mut now = Instant::now();
     let mut core = gate(now);
     core.set_pace(now, 100);
@@ -89,28 +91,28 @@
         now += ms(2);
         crate::common::answer(&mut core, now, id, ms(2));
     }
-    for token in 0..u128::from(USED) {
+    for token in 0..u128::from(INITIAL_SLOTS) {
         start(&mut core, now, with_goal(now, token, 3, 1_000));
     }
-    let (mut waiting, mut tried) = (0, 0);
+    let (mut waiting, mut started) = (0, 0);
     for token in 0..40 {
         match core.offer(now, with_goal(now, 200 + token, 3, 1_000)) {
             Verdict::Wait(_) => waiting += 1,
             Verdict::Refuse(refusal) => assert_eq!(refusal.cause(), Cause::Full),
-            // One may try a slot of which nothing is known.
-            Verdict::Start(_) => tried += 1,
+            // One request may start in a slot that the knee has no runs for.
+            Verdict::Start(_) => started += 1,
         }
     }
-    assert!(tried <= 1, "{tried} start");
-    assert!((5..=10).contains(&waiting), "{waiting} wait");
+    assert!(started <= 1, "{started} started");
+    assert!((5..=10).contains(&waiting), "{waiting} waiting");
 }
 
+/// Targets with seven slots take 1.65 times as long for runs that start beside five others or more.
+/// Each gate of a large fleet sees only a few runs per second, and kept its target above the knee
+/// for a whole day, so that a third of all runs took 1.65 times as long. Only a few runs may
+/// explore the last slots. If those do not slow down, about ten such runs open the slots.
 #[test]
-fn a_nearly_full_target_is_tried_by_few_until_it_is_known() {
-    // Targets of seven slots take 1.65 times as long for what starts beside five others or more. Each
-    // gate of a large fleet sees a few runs a second: it ran its target over that for the whole day, and
-    // a third of all runs took 1.65 times as long. Now the last slots are tried by few; where nothing
-    // slows down, they are in use after some ten of those.
+fn few_runs_explore_the_last_slots_until_the_knee_is_known() {
     for (knee, limit) in [(5, 5), (7, 7)] {
         let mut now = Instant::now();
         let mut core = gate(now);
@@ -129,24 +131,27 @@
                     gate::Event::Start { id } => Some(id),
                     gate::Event::Refuse { .. } => None,
                 }));
-                core.dispatch(now, *held.last().expect("one runs"));
+                core.dispatch(now, *held.last().expect("a request holds a slot"));
             }
             for id in waiting {
                 core.cancel(now, id);
             }
-            over += held.len().saturating_sub(usize::from(USED));
+            over += held.len().saturating_sub(usize::from(INITIAL_SLOTS));
             runs += held.len();
-            for (at, id) in held.into_iter().enumerate() {
-                let work = if at < knee { ms(60) } else { ms(99) };
+            for (others, id) in held.into_iter().enumerate() {
+                let work = if others < knee { ms(60) } else { ms(99) };
                 core.record_work(now, id, work);
                 core.finish(now, id, gate::End::Answered { latency: work });
                 core.poll(now);
             }
             now += ms(200);
         }
-        assert_eq!(core.report(now).limit, limit, "a knee at {knee}");
+        assert_eq!(core.report(now).limit, limit, "limit for a knee at {knee}");
         if knee == 5 {
-            assert!(over * 5 < runs, "{over} of {runs} runs were over the knee");
+            assert!(
+                over * 5 < runs,
+                "{over} of {runs} runs started above the knee"
+            );
         }
     }
 }
