--- a/crates/gate/tests/all/token.rs
+++ b/crates/gate/tests/all/token.rs
@@ -1,4 +1,4 @@
-//! A token runs at most once, and a fenced one never.
+//! A token runs at most once, and a fenced token never runs.
 
 use gate::{Builder, Cause, End, Event, Fence, Status, Verdict};
 use tokio::time::Instant;
@@ -6,9 +6,9 @@
 
 use crate::common::{cause, ms, request, start, wait};
 
-/// An entry loses its link while its request is on the way and asks after the token. The gate
-/// has not seen it; told "not run", the entry may try elsewhere. Then the late frame comes in. It
-/// must not run, else a retrieval slip lands twice.
+/// An entry loses its link while its request is in flight, and fences the token. The gate has not
+/// seen the token, so the entry may take it as not run and try another target. Then the late frame
+/// arrives. If it ran, the request would run twice.
 #[test]
 fn late_frame_of_a_fenced_token_is_refused() {
     let now = Instant::now();
@@ -17,16 +17,16 @@
     assert_eq!(core.status(now, late.token), Status::Unknown);
     assert_eq!(core.fence(now, late.token, late.deadline), Fence::Fenced);
     let Verdict::Refuse(refusal) = core.offer(now + ms(500), late) else {
-        panic!("a fenced token started");
+        panic!("a request with a fenced token was admitted");
     };
     assert_eq!(refusal.cause(), Cause::Fenced);
     assert_eq!(refusal.outcome(), Outcome::NotRun);
 }
 
-/// As before, but the request waits, runs, or has run. One that waits is taken out and told so;
-/// for the others the fence comes too late and says so.
+/// A token is fenced while its request waits, runs, or has run. A waiting request is removed from
+/// the queue and refused. In the other two cases the fence is too late, and its result says so.
 #[test]
-fn fence_tells_how_far_the_token_came() {
+fn fence_reports_the_state_of_the_token() {
     let now = Instant::now();
     let mut core = Builder::new(1).core(now);
     let [first, second] = [1, 2].map(|token| request(now, token, "desk@clinic"));
@@ -44,17 +44,17 @@
     assert_eq!(core.fence(now, Token(2), deadline), Fence::Fenced);
 }
 
-/// A frame comes twice while the first is running or done. The second is refused, but that
-/// refusal must not tell the entry that the token did not run.
+/// A frame arrives a second time while the first one runs, or after it has ended. The second is
+/// refused, but its refusal must not report to the entry that the token did not run.
 #[test]
-fn duplicate_is_not_taken_for_not_run() {
+fn refusal_of_a_duplicate_is_not_reported_as_not_run() {
     let now = Instant::now();
     let mut core = Builder::new(2).core(now);
-    let again = request(now, 1, "desk@clinic");
-    let id = start(&mut core, now, again.clone());
+    let repeated = request(now, 1, "desk@clinic");
+    let id = start(&mut core, now, repeated.clone());
     for _ in 0..2 {
-        let Verdict::Refuse(refusal) = core.offer(now, again.clone()) else {
-            panic!("a token started twice");
+        let Verdict::Refuse(refusal) = core.offer(now, repeated.clone()) else {
+            panic!("a duplicate token was admitted");
         };
         assert_eq!(refusal.cause(), Cause::Duplicate);
         assert_eq!(refusal.outcome(), Outcome::Unknown);
@@ -62,11 +62,11 @@
     }
 }
 
-/// An entry was paused for a minute and asks after a token whose request ran long ago. The gate
-/// has forgotten it; "fenced" would be read as "not run" though it ran. It says that it can't
-/// tell.
+/// An entry was suspended for a minute and fences a token whose request ran long ago. The gate has
+/// forgotten the token. The result "fenced" would be taken for "not run" although the request ran,
+/// so the result is "unsure".
 #[test]
-fn fence_long_after_the_deadline_promises_nothing() {
+fn fence_long_after_the_deadline_is_unsure() {
     let mut now = Instant::now();
     let mut core = Builder::new(1).grace(ms(5000)).core(now);
     let old = request(now, 1, "desk@clinic");
@@ -79,11 +79,11 @@
     assert_eq!(core.fence(now, token, deadline), Fence::Unsure);
 }
 
-/// The token table is full of tokens that ran. To forget one would make "not run" of a run, so
-/// new requests are refused until some age out; fences still find room, until that is gone too
-/// and the gate promises nothing more.
+/// The token table is full of tokens that ran. If one were evicted, its run could be reported as
+/// "not run", so new requests are refused until entries expire. Fences use the space reserved for
+/// them; once that is used up too, their result is "unsure".
 #[test]
-fn full_table_refuses_rather_than_forgets() {
+fn full_token_table_refuses_instead_of_evicting() {
     let mut now = Instant::now();
     let mut core = Builder::new(1).tokens(16).grace(ms(5000)).core(now);
     for token in 0..12 {
