--- a/crates/gate/tests/all/common.rs
+++ b/crates/gate/tests/all/common.rs
@@ -1,4 +1,4 @@
-//! Requests and clocks for the tests of the gate.
+//! Helpers that build requests and drive a core through simulated time.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     Duration::from_millis(count)
 }
 
-/// A routine request with a second to live, of a kind of its own.
+/// A routine request that is due in one second, with a kind derived from its token.
 pub fn request(now: Instant, token: u128, caller: &str) -> Request {
     Request {
         token: Token(token),
@@ -62,15 +62,15 @@
     core.poll(now)
 }
 
-/// Starts a request and lets it be answered after `latency`.
+/// Starts a request and answers it after `latency`.
 pub fn run(core: &mut Core, now: &mut Instant, request: Request, latency: Duration) {
     let id = start(core, *now, request);
     *now += latency;
     answer(core, *now, id, latency);
 }
 
-/// Lets `count` requests of `latency` run one after the other, so that the gate knows its
-/// service time and has left the cold start.
+/// Runs `count` requests of `latency` one after the other, so that the gate has learnt its service
+/// time and is no longer cold.
 pub fn warm(core: &mut Core, now: &mut Instant, count: u128, latency: Duration) {
     let before = u128::from(core.report(*now).answered);
     for i in before..before + count {
@@ -79,7 +79,7 @@
     }
 }
 
-/// A suspicion as another gate sends it.
+/// A suspicion as reported by another gate.
 pub fn suspicion(kind: u128, convicted: bool, learnt: bool) -> Suspicion {
     Suspicion {
         kind: Digest(kind),
@@ -90,14 +90,16 @@
     }
 }
 
-/// Lets the time pass until something happens to a waiting request.
+/// Advances the time until the core returns events, and returns them.
 pub fn next_events(core: &mut Core, now: &mut Instant) -> Vec<Event> {
     for _ in 0..1000 {
-        *now = core.next_timer(*now).expect("a request waits");
+        *now = core
+            .next_timer(*now)
+            .expect("a waiting request has a timer");
         let events = core.poll(*now);
         if !events.is_empty() {
             return events;
         }
     }
-    panic!("nothing happens");
+    panic!("no event after 1000 timers");
 }
--- a/crates/gate/tests/all/invariant.rs
+++ b/crates/gate/tests/all/invariant.rs
@@ -1,4 +1,4 @@
-//! What holds for any order of calls to the core.
+//! Invariants that hold for any order of calls to the core.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,8 @@
     caller: u8,
     deadline: u64,
     kind: u8,
-    again: Option<usize>,
+    /// Index of an earlier token to repeat.
+    repeated: Option<usize>,
     goal: Option<u64>,
     elsewhere: bool,
 }
@@ -27,10 +28,10 @@
     Offer(Offer),
     Dispatch(usize),
     Finish(usize, u8),
-    GiveBack(usize),
+    Refuse(usize),
     Reconsider(usize),
     Pace(u16),
-    Began,
+    Restarted,
     Cancel(usize),
     Fence(usize),
     Sleep(u64),
@@ -40,28 +41,28 @@
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let again = proptest::option::weighted(0.1, any::<usize>());
+    let repeated = proptest::option::weighted(0.1, any::<usize>());
     let goal = proptest::option::of(1u64..300);
-    let aims = (goal, any::<bool>());
-    let offer = (0usize..3, 0u8..6, 1u64..400, 0u8..30, again, aims);
-    let offer = offer.prop_map(|(rank, caller, deadline, kind, again, aims)| Offer {
+    let routing = (goal, any::<bool>());
+    let offer = (0usize..3, 0u8..6, 1u64..400, 0u8..30, repeated, routing);
+    let offer = offer.prop_map(|(rank, caller, deadline, kind, repeated, routing)| Offer {
         rank,
         caller,
         deadline,
         kind,
-        again,
-        goal: aims.0,
-        elsewhere: aims.1,
+        repeated,
+        goal: routing.0,
+        elsewhere: routing.1,
     });
     let paces = prop_oneof![Just(0_u16), Just(100), Just(200), Just(700), Just(1_400)];
     prop_oneof![
         12 => offer.prop_map(Op::Offer),
         10 => any::<usize>().prop_map(Op::Dispatch),
         10 => (any::<usize>(), any::<u8>()).prop_map(|(at, end)| Op::Finish(at, end)),
-        1 => any::<usize>().prop_map(Op::GiveBack),
+        1 => any::<usize>().prop_map(Op::Refuse),
         6 => any::<usize>().prop_map(Op::Reconsider),
         4 => paces.prop_map(Op::Pace),
-        1 => Just(Op::Began),
+        1 => Just(Op::Restarted),
         2 => any::<usize>().prop_map(Op::Cancel),
         2 => any::<usize>().prop_map(Op::Fence),
         6 => (0u64..60).prop_map(Op::Sleep),
@@ -71,7 +72,7 @@
     ]
 }
 
-/// What a caller of the core has seen so far.
+/// A core and what its caller has observed of it so far.
 struct Model {
     core: Core,
     now: Instant,
@@ -81,7 +82,7 @@
     deadlines: BTreeMap<Token, Instant>,
     dispatched: BTreeSet<Token>,
     not_run: BTreeSet<Token>,
-    probed: Option<Instant>,
+    last_probe: Option<Instant>,
 }
 
 fn pick<T: Copy>(items: impl ExactSizeIterator<Item = T>, at: usize) -> Option<T> {
@@ -102,7 +103,7 @@
             deadlines: BTreeMap::new(),
             dispatched: BTreeSet::new(),
             not_run: BTreeSet::new(),
-            probed: None,
+            last_probe: None,
         }
     }
 
@@ -112,10 +113,10 @@
             Op::Offer(offer) => self.offer(offer),
             Op::Dispatch(at) => self.dispatch(at).unwrap_or_default(),
             Op::Finish(at, end) => self.finish(at, end).unwrap_or_default(),
-            Op::GiveBack(at) => self.give_back(at).unwrap_or_default(),
+            Op::Refuse(at) => self.refuse(at).unwrap_or_default(),
             Op::Reconsider(at) => self.reconsider(at).unwrap_or_default(),
             Op::Pace(pace) => self.core.set_pace(now, pace),
-            Op::Began => {
+            Op::Restarted => {
                 self.core.target_cold();
                 self.core.target_restarted(now);
             }
@@ -133,9 +134,11 @@
     }
 
     fn offer(&mut self, offer: Offer) {
-        let Offer { caller, again, .. } = offer;
+        let Offer {
+            caller, repeated, ..
+        } = offer;
         let fresh = Token(self.tokens.len() as u128);
-        let token = again.and_then(|at| pick(self.tokens.iter().copied(), at));
+        let token = repeated.and_then(|at| pick(self.tokens.iter().copied(), at));
         let token = token.unwrap_or(fresh);
         self.tokens.push(token);
         let request = Request {
@@ -164,15 +167,24 @@
     }
 
     fn started(&mut self, id: Id, token: Token) {
-        assert!(!self.not_run.contains(&token), "ran after 'not run'");
-        assert!(!self.dispatched.contains(&token), "ran twice");
-        assert!(self.held.insert(id, token).is_none(), "started twice");
-        // Over a shrunk limit only a probe may start, and one at a time.
+        assert!(!self.not_run.contains(&token), "started after 'not run'");
+        assert!(
+            !self.dispatched.contains(&token),
+            "token started again after it was dispatched"
+        );
+        assert!(
+            self.held.insert(id, token).is_none(),
+            "request started twice"
+        );
+        // Beyond a reduced limit only a probe may start, at most one per instant.
         let report = self.core.report(self.now);
         if report.running > report.limit {
-            let apart = self.probed.is_none_or(|last| last < self.now);
-            assert!(apart, "{report:?}");
-            self.probed = Some(self.now);
+            let is_first = self.last_probe.is_none_or(|last| last < self.now);
+            assert!(
+                is_first,
+                "second start beyond the limit at one instant: {report:?}"
+            );
+            self.last_probe = Some(self.now);
         }
     }
 
@@ -207,7 +219,7 @@
         Some(())
     }
 
-    /// A held request is gone; one that was not dispatched has not run.
+    /// Removes a held request. If it was not dispatched, it has not run.
     fn ended(&mut self, id: Id) {
         let token = self.held.remove(&id).expect("it was held");
         if !self.dispatched.contains(&token) {
@@ -215,7 +227,7 @@
         }
     }
 
-    fn give_back(&mut self, at: usize) -> Option<()> {
+    fn refuse(&mut self, at: usize) -> Option<()> {
         let id = pick(self.held.keys().copied(), at)?;
         let token = self.held[&id];
         let refusal = self.core.refuse(self.now, id, Cause::Shed);
@@ -226,20 +238,24 @@
         Some(())
     }
 
-    /// Looks once more at a request before it leaves: it keeps its slot, waits again, or has not run.
+    /// Reconsiders a held request: it keeps its slot, waits again, or is refused. A dispatched
+    /// request keeps its slot.
     fn reconsider(&mut self, at: usize) -> Option<()> {
         let id = pick(self.held.keys().copied(), at)?;
         let token = self.held[&id];
-        let left = self.dispatched.contains(&token);
+        let dispatched = self.dispatched.contains(&token);
         match self.core.reconsider(self.now, id) {
             Verdict::Start(same) => assert_eq!(same, id),
             Verdict::Wait(same) => {
-                assert!(same == id && !left, "one that has left waits");
+                assert!(
+                    same == id && !dispatched,
+                    "a dispatched request waits again"
+                );
                 self.held.remove(&id);
                 self.waiting.insert(id, token);
             }
             Verdict::Refuse(refusal) => {
-                assert!(!left, "one that has left is refused");
+                assert!(!dispatched, "a dispatched request is refused");
                 self.ended(id);
                 self.refused(token, &refusal);
             }
@@ -289,21 +305,34 @@
         for event in self.core.poll(self.now) {
             match event {
                 Event::Start { id } => {
-                    let token = self.waiting.remove(&id).expect("only who waits can start");
+                    let token = self
+                        .waiting
+                        .remove(&id)
+                        .expect("a started request was waiting");
                     self.started(id, token);
                 }
                 Event::Refuse { id, refusal } => {
-                    let token = self.waiting.remove(&id).expect("only who waits is refused");
+                    let token = self
+                        .waiting
+                        .remove(&id)
+                        .expect("a refused request was waiting");
                     self.refused(token, &refusal);
                 }
             }
         }
-        assert!(self.held.len() <= usize::from(SLOTS), "over the slots");
+        assert!(
+            self.held.len() <= usize::from(SLOTS),
+            "more held than slots"
+        );
         assert_eq!(self.core.running(), self.held.len());
-        assert_eq!(self.core.queued(), self.waiting.len(), "lost or doubled");
+        assert_eq!(
+            self.core.queued(),
+            self.waiting.len(),
+            "waiting requests lost or counted twice"
+        );
     }
 
-    /// Ends everything; each request must come to its end by answers and time alone.
+    /// Ends all requests by answers and the passing of time alone; panics if some wait for ever.
     fn drain(&mut self) {
         self.core.target_up(self.now);
         self.settle();
@@ -319,12 +348,15 @@
             self.sleep(10);
             self.settle();
         }
-        panic!("{} requests wait for ever", self.waiting.len());
+        panic!(
+            "{} requests never started and were never refused",
+            self.waiting.len()
+        );
     }
 }
 
-/// A fixed seed, so that the verdict is the same each time; `PROPTEST_RNG_SEED` and
-/// `PROPTEST_CASES` set others for a longer search.
+/// Uses a fixed seed, so that the result is reproducible. `PROPTEST_RNG_SEED` and `PROPTEST_CASES`
+/// override the seed and the number of cases for a longer search.
 fn config() -> ProptestConfig {
     let set = ProptestConfig::default();
     let rng_seed = match set.rng_seed {
@@ -341,8 +373,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Never over the slots, never lost, never run after a refusal, a cancel or a fence, each
-    /// token at most once, and 'not run' never said of what ran.
+    /// No more requests run than there are slots, and none is lost. No token runs twice, or after a
+    /// refusal, a cancellation or a fence. No token that ran is reported as 'not run'.
     #[test]
     fn any_order_of_calls_is_safe(
         ops in proptest::collection::vec(op(), 1..250),
@@ -360,19 +392,19 @@
         model.drain();
     }
 
-    /// With equal weights, the k-th request of a member starts among the first k rounds of all
-    /// members, whatever the others have queued.
+    /// With equal weights, the k-th request of a member starts within the first k rounds over all
+    /// members, however many requests the others have queued.
     #[test]
     fn no_member_starves(callers in proptest::collection::vec(0u8..12, 2..200)) {
         let now = Instant::now();
         let mut core = Builder::new(1).core(now);
         let first = crate::common::start(&mut core, now, crate::common::request(now, 0, "first"));
-        let mut asked = BTreeMap::new();
+        let mut member_of = BTreeMap::new();
         let mut members = BTreeSet::new();
         for (at, caller) in callers.iter().enumerate() {
             let name = format!("desk-{}@member-{}", caller % 3, caller / 3);
             let request = crate::common::request(now, at as u128 + 1, &name);
-            asked.insert(crate::common::wait(&mut core, now, request), caller / 3);
+            member_of.insert(crate::common::wait(&mut core, now, request), caller / 3);
             members.insert(caller / 3);
         }
         let mut starts: BTreeMap<u8, usize> = BTreeMap::new();
@@ -383,7 +415,7 @@
             let [Event::Start { id }] = events[..] else {
                 panic!("expected one start, got {events:?}");
             };
-            let count = starts.entry(asked[&id]).or_default();
+            let count = starts.entry(member_of[&id]).or_default();
             *count += 1;
             prop_assert!(order <= *count * members.len(), "start {order} is number {count}");
             running = id;
--- a/crates/gate/tests/all/main.rs
+++ b/crates/gate/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the gate: what always holds, what each mechanism is for, and the guards.
+//! Tests of the gate: invariants, admission rules, each mechanism on its own, and the tokio guards.
 
 mod admission;
 mod cold_start;
