--- a/crates/gate/tests/all/law.rs
+++ b/crates/gate/tests/all/law.rs
@@ -1,4 +1,4 @@
-//! The laws of the limit beside each other on simulated targets, and the bounds of the default.
+//! Compares the limit laws on simulated targets, and checks the bounds of the default law.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -16,33 +16,34 @@
 const DEADLINE: Duration = ms(200);
 const SERVICE: f64 = 0.010;
 
-/// A target with exponential service times and a processor for each slot, and its arrivals.
+/// Arrivals at a target with exponential service times and one processor per slot.
 #[derive(Clone)]
 struct Scenario {
     slots: u16,
     rate: f64,
     length: Duration,
-    /// When it is in trouble.
-    trouble: Range<Duration>,
-    /// How many times as slow each run is in the trouble.
-    slower: f64,
-    /// Processors left in the trouble.
-    left: f64,
+    /// When the target is disturbed.
+    disturbance: Range<Duration>,
+    /// Factor on the service times during the disturbance.
+    slowdown: f64,
+    /// Number of processors available during the disturbance.
+    processors: f64,
 }
 
 #[derive(Default)]
-struct Figure {
+struct Stats {
     answered: usize,
     in_time: usize,
     refused: usize,
-    spent: Vec<Duration>,
-    /// From the slow-down until the limit is at most a fifth of the slots.
+    /// Times from arrival to answer, sorted at the end of the run.
+    latencies: Vec<Duration>,
+    /// Time from the start of the disturbance until the limit is at most a fifth of the slots.
     shrink: Option<Duration>,
-    /// From its end until the limit is back at nine tenths.
+    /// Time from the end of the disturbance until the limit is at least nine tenths of the slots.
     regrow: Option<Duration>,
 }
 
-struct Sim {
+struct Simulation {
     core: Core,
     begin: Instant,
     now: Instant,
@@ -51,7 +52,7 @@
     ends: BinaryHeap<Reverse<(Instant, Id)>>,
     offered: BTreeMap<Id, Instant>,
     started: BTreeMap<Id, Instant>,
-    figure: Figure,
+    stats: Stats,
 }
 
 fn exponential(rng: &mut Pcg64Mcg, mean: f64) -> Duration {
@@ -59,10 +60,10 @@
     Duration::from_secs_f64(-(1.0 - uniform).ln() * mean)
 }
 
-impl Sim {
-    fn new(law: Law, scenario: &Scenario, seed: u64) -> Sim {
+impl Simulation {
+    fn new(law: Law, scenario: &Scenario, seed: u64) -> Simulation {
         let begin = Instant::now();
-        Sim {
+        Simulation {
             core: Builder::new(scenario.slots).law(law).core(begin),
             begin,
             now: begin,
@@ -71,11 +72,11 @@
             ends: BinaryHeap::new(),
             offered: BTreeMap::new(),
             started: BTreeMap::new(),
-            figure: Figure::default(),
+            stats: Stats::default(),
         }
     }
 
-    fn run(mut self) -> Figure {
+    fn run(mut self) -> Stats {
         let mut arrival = self.begin;
         let mut token = 0;
         while self.now < self.begin + self.scenario.length {
@@ -83,7 +84,7 @@
             let timer = self.core.next_timer(self.now);
             let timer = timer.map(|at| at.max(self.now + Duration::from_micros(1)));
             let next = [Some(arrival), end, timer].into_iter().flatten().min();
-            self.now = next.expect("there is an arrival");
+            self.now = next.expect("the next arrival is always known");
             if end == Some(self.now) {
                 self.end();
             } else if arrival == self.now {
@@ -92,12 +93,12 @@
                 arrival += exponential(&mut self.rng, 1.0 / self.scenario.rate);
             }
             for event in self.core.poll(self.now) {
-                self.take(event);
+                self.handle(event);
             }
-            self.watch();
+            self.observe_limit();
         }
-        self.figure.spent.sort();
-        self.figure
+        self.stats.latencies.sort();
+        self.stats
     }
 
     fn arrive(&mut self, token: u128) {
@@ -109,7 +110,7 @@
         };
         let verdict = self.core.offer(self.now, request);
         let (Verdict::Start(id) | Verdict::Wait(id)) = verdict else {
-            self.figure.refused += 1;
+            self.stats.refused += 1;
             return;
         };
         self.offered.insert(id, self.now);
@@ -118,57 +119,59 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Start { id } => self.start(id),
-            Event::Refuse { .. } => self.figure.refused += 1,
+            Event::Refuse { .. } => self.stats.refused += 1,
         }
     }
 
     fn start(&mut self, id: Id) {
         self.core.dispatch(self.now, id);
         self.started.insert(id, self.now);
-        let (factor, capacity) = match self.scenario.trouble.contains(&(self.now - self.begin)) {
-            true => (self.scenario.slower, self.scenario.left),
-            false => (1.0, f64::from(self.scenario.slots)),
-        };
-        // Beyond the processors, runs do not only share them but get in each other's way.
-        let crowd = (self.started.len() as f64 / capacity).max(1.0).powf(1.5);
-        let length = exponential(&mut self.rng, SERVICE * crowd * factor);
+        let (factor, processors) =
+            match self.scenario.disturbance.contains(&(self.now - self.begin)) {
+                true => (self.scenario.slowdown, self.scenario.processors),
+                false => (1.0, f64::from(self.scenario.slots)),
+            };
+        // With more runs than processors, a run takes longer than sharing them alone accounts for.
+        let contention = (self.started.len() as f64 / processors).max(1.0).powf(1.5);
+        let length = exponential(&mut self.rng, SERVICE * contention * factor);
         self.ends.push(Reverse((self.now + length, id)));
     }
 
     fn end(&mut self) {
-        let Reverse((_, id)) = self.ends.pop().expect("a run ends");
-        let latency = self.now - self.started.remove(&id).expect("it runs");
-        self.core.finish(self.now, id, End::Answered { latency });
-        let spent = self.now - self.offered.remove(&id).expect("it was offered");
-        self.figure.answered += 1;
-        self.figure.in_time += usize::from(spent <= DEADLINE);
-        self.figure.spent.push(spent);
+        let Reverse((_, id)) = self.ends.pop().expect("a run is about to end");
+        let run_time = self.now - self.started.remove(&id).expect("the request was started");
+        self.core
+            .finish(self.now, id, End::Answered { latency: run_time });
+        let latency = self.now - self.offered.remove(&id).expect("the request was admitted");
+        self.stats.answered += 1;
+        self.stats.in_time += usize::from(latency <= DEADLINE);
+        self.stats.latencies.push(latency);
     }
 
-    fn watch(&mut self) {
-        let Range { start, end } = self.scenario.trouble;
+    fn observe_limit(&mut self) {
+        let Range { start, end } = self.scenario.disturbance;
         let since = self.now - self.begin;
         let limit = f64::from(self.core.report(self.now).limit);
         let slots = f64::from(self.scenario.slots);
         if (start..end).contains(&since) && limit <= slots * 0.2 {
-            self.figure.shrink.get_or_insert(since - start);
+            self.stats.shrink.get_or_insert(since - start);
         }
         if since >= end && !end.is_zero() && limit >= slots * 0.9 {
-            self.figure.regrow.get_or_insert(since - end);
+            self.stats.regrow.get_or_insert(since - end);
         }
     }
 }
 
-impl Figure {
+impl Stats {
     fn quantile(&self, share: f64) -> Duration {
-        let at = (self.spent.len() as f64 * share) as usize;
-        self.spent[at.min(self.spent.len() - 1)]
+        let at = (self.latencies.len() as f64 * share) as usize;
+        self.latencies[at.min(self.latencies.len() - 1)]
     }
 
-    fn row(&self, name: &str, law: Law) {
+    fn print(&self, name: &str, law: Law) {
         let late = self.answered - self.in_time;
         let [p50, p99] = [0.5, 0.99].map(|share| self.quantile(share));
         println!(
@@ -178,75 +181,80 @@
     }
 }
 
-const QUIET: Scenario = Scenario {
+const UNDISTURBED: Scenario = Scenario {
     slots: 10,
     rate: 700.0,
     length: ms(10_000),
-    trouble: ms(0)..ms(0),
-    slower: 1.0,
-    left: 10.0,
+    disturbance: ms(0)..ms(0),
+    slowdown: 1.0,
+    processors: 10.0,
 };
 const SLOW: Scenario = Scenario {
-    trouble: ms(4000)..ms(6000),
-    slower: 20.0,
-    ..QUIET
+    disturbance: ms(4000)..ms(6000),
+    slowdown: 20.0,
+    ..UNDISTURBED
 };
 const CROWDED: Scenario = Scenario {
     slots: 16,
     rate: 350.0,
-    trouble: ms(4000)..ms(8000),
-    left: 4.0,
-    ..QUIET
+    disturbance: ms(4000)..ms(8000),
+    processors: 4.0,
+    ..UNDISTURBED
 };
 const OVERLOAD: Scenario = Scenario {
     rate: 3000.0,
-    ..QUIET
+    ..UNDISTURBED
 };
 
-/// Seeds of the table, run side by side.
+/// Seeds of the simulations, which run in parallel.
 const SEEDS: [u64; 8] = [7, 8, 9, 10, 11, 12, 13, 14];
 
-/// The sums over all seeds; of the times, the longest.
-fn run(name: &str, law: Law, scenario: &Scenario) -> Figure {
-    let figures: Vec<Figure> = std::thread::scope(|scope| {
-        let sims = SEEDS.map(|seed| scope.spawn(move || Sim::new(law, scenario, seed).run()));
-        sims.map(|sim| sim.join().expect("the trial ends")).into()
+/// Runs a scenario with all seeds. Counts are summed over the seeds; `shrink` and `regrow` are the
+/// longest times.
+fn run(name: &str, law: Law, scenario: &Scenario) -> Stats {
+    let results: Vec<Stats> = std::thread::scope(|scope| {
+        let simulations =
+            SEEDS.map(|seed| scope.spawn(move || Simulation::new(law, scenario, seed).run()));
+        simulations
+            .map(|simulation| simulation.join().expect("the simulation does not panic"))
+            .into()
     });
-    let mut sum = Figure::default();
-    for figure in figures {
-        sum.answered += figure.answered;
-        sum.in_time += figure.in_time;
-        sum.refused += figure.refused;
-        sum.spent.extend(figure.spent);
-        sum.shrink = sum.shrink.max(figure.shrink);
-        sum.regrow = sum.regrow.max(figure.regrow);
+    let mut sum = Stats::default();
+    for stats in results {
+        sum.answered += stats.answered;
+        sum.in_time += stats.in_time;
+        sum.refused += stats.refused;
+        sum.latencies.extend(stats.latencies);
+        sum.shrink = sum.shrink.max(stats.shrink);
+        sum.regrow = sum.regrow.max(stats.regrow);
     }
-    sum.spent.sort();
-    sum.row(name, law);
+    sum.latencies.sort();
+    sum.print(name, law);
     sum
 }
 
-/// All laws on all targets; `--nocapture` prints the table of the design note.
+/// Runs all laws in all scenarios; `--nocapture` prints the results.
 ///
-/// The default must cost nothing when all is quiet, shrink within 200 ms when the target is 20
-/// times as slow and be back within a second, help where runs get in each other's way, and keep
-/// 95 % of the capacity useful at three times the load.
+/// The default law must cost nothing at an undisturbed target. It must lower the limit within 200
+/// ms when the target becomes 20 times as slow, and restore it within one second of the recovery.
+/// It must help where concurrent runs slow each other down, and use 95 % of the capacity for
+/// answers in time at three times the load.
 #[test]
 fn default_law_holds_its_bounds() {
-    let table = |name, scenario| {
+    let compare = |name, scenario| {
         [Law::Aimd, Law::Gradient, Law::Fixed].map(|law| run(name, law, &scenario))
     };
     assert_eq!(Law::default(), Law::Aimd);
-    let [aimd, _, fixed] = table("quiet", QUIET);
+    let [aimd, _, fixed] = compare("quiet", UNDISTURBED);
     assert!(aimd.in_time * 1000 >= fixed.in_time * 995);
-    let [aimd, _, fixed] = table("slow", SLOW);
+    let [aimd, _, fixed] = compare("slow", SLOW);
     assert!(aimd.shrink.is_some_and(|time| time <= ms(200)));
     assert!(aimd.regrow.is_some_and(|time| time <= ms(1000)));
     assert!(aimd.in_time >= fixed.in_time);
-    let [aimd, gradient, fixed] = table("crowded", CROWDED);
+    let [aimd, gradient, fixed] = compare("crowded", CROWDED);
     assert!(aimd.in_time * 1000 >= fixed.in_time * 1095);
     assert!(aimd.in_time >= gradient.in_time);
-    let [aimd, ..] = table("overload", OVERLOAD);
+    let [aimd, ..] = compare("overload", OVERLOAD);
     let capacity = 1000 * 10 * SEEDS.len();
     assert!(aimd.in_time * 100 >= capacity * 95);
 }
