--- a/crates/gate/examples/cost.rs
+++ b/crates/gate/examples/cost.rs
@@ -1,4 +1,4 @@
-//! What a decision costs: processor time for a request, and memory for a remembered token.
+//! Measures the processor time per request and the memory per remembered token.
 //!
 //! `cargo run --release -p gate --example cost`
 
@@ -27,7 +27,7 @@
     }
 }
 
-fn end(core: &mut Core, now: Instant, id: Id, running: &mut Vec<Id>) {
+fn finish(core: &mut Core, now: Instant, id: Id, running: &mut Vec<Id>) {
     core.dispatch(now, id);
     let latency = Duration::from_millis(10);
     core.finish(now, id, End::Answered { latency });
@@ -38,13 +38,13 @@
     }
 }
 
-/// Offers and ends requests with about `waiting` of them in the queue all the time.
-fn rate(waiting: u32) {
+/// Measures the time per request while about `waiting` requests are in the queue.
+fn measure_time(waiting: u32) {
     let mut now = Instant::now();
     let grace = Duration::from_millis(1);
     let mut core = Builder::new(10).grace(grace).core(now);
     let mut running = Vec::new();
-    let real = std::time::Instant::now();
+    let started = std::time::Instant::now();
     for token in 0..REQUESTS {
         now += Duration::from_micros(1000);
         if let Verdict::Start(id) = core.offer(now, request(now, token, 64)) {
@@ -53,31 +53,32 @@
         if core.queued() >= waiting as usize
             && let Some(id) = running.pop()
         {
-            end(&mut core, now, id, &mut running);
+            finish(&mut core, now, id, &mut running);
         }
     }
-    let each = real.elapsed() / REQUESTS;
+    let each = started.elapsed() / REQUESTS;
     println!("{waiting} waiting: {each:?} a request");
 }
 
-fn resident() -> u64 {
+/// The resident memory of this process in bytes; 0 if it can't be read.
+fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse().ok());
     pages.unwrap_or(0u64) * 4096
 }
 
 fn main() {
-    rate(0);
-    rate(100);
+    measure_time(0);
+    measure_time(100);
     let now = Instant::now();
     let mut core = Builder::new(10).core(now);
-    let before = resident();
+    let before = resident_bytes();
     for token in 0..TOKENS {
         if let Verdict::Start(id) = core.offer(now, request(now, token, 64)) {
-            end(&mut core, now, id, &mut Vec::new());
+            finish(&mut core, now, id, &mut Vec::new());
         }
     }
     let held = core.dump(now).tokens;
-    let bytes = (resident() - before) / held as u64;
+    let bytes = (resident_bytes() - before) / held as u64;
     println!("{held} tokens held: {bytes} bytes each");
 }
--- a/crates/gate/examples/queue.rs
+++ b/crates/gate/examples/queue.rs
@@ -1,9 +1,10 @@
-//! What the order of the queue does to a clerk and a neighbour while a member sends a batch.
+//! Shows how the order of the queue affects other callers while one member sends a batch.
 //!
-//! The same gate is asked in three ways: all requests under one name and urgency, which makes the
-//! queue a plain one; with their urgencies; and with their callers as well. Ten slots, exponential
-//! service times of 10 ms, a neighbour at 300/s, an urgent clerk at 50/s, and every second a
-//! batch of 200 ms at 3,000/s. Deadlines are 500 ms.
+//! The same load runs three times: with one caller and urgency for all requests, which makes the
+//! queue FIFO; with the urgency of each request; and with its caller as well. The target has ten
+//! slots and exponential service times of 10 ms. An urgent caller sends 50 requests per second and
+//! a routine one 300. A batch of 3,000 per second runs for the last 200 ms of each second.
+//! Deadlines are 500 ms.
 //!
 //! `cargo run --release -p gate --example queue`
 
@@ -21,10 +22,10 @@
 const STEP: Duration = Duration::from_micros(100);
 const DEADLINE: Duration = Duration::from_millis(500);
 
-/// Who asks, in the order of the figures.
-const NAMES: [&str; 3] = ["clerk@court", "desk@clinic", "bulk@batcher"];
+/// The callers, in the order of the results.
+const CALLERS: [&str; 3] = ["clerk@court", "desk@clinic", "bulk@batcher"];
 
-/// Which of the differences between requests the queue is told.
+/// Which properties of a request the queue is given; each order includes those before it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Order {
     Plain,
@@ -33,25 +34,27 @@
 }
 
 #[derive(Default)]
-struct Figure {
-    spent: Vec<Duration>,
+struct Stats {
+    latencies: Vec<Duration>,
     refused: usize,
 }
 
-struct Trial {
+struct Simulation {
     order: Order,
     core: Core,
     now: Instant,
     rng: Pcg64Mcg,
-    who: BTreeMap<Id, (usize, Instant)>,
+    /// Caller and arrival of each request that waits or runs.
+    pending: BTreeMap<Id, (usize, Instant)>,
+    /// End and start of each run.
     ends: BinaryHeap<Reverse<(Instant, Id, Instant)>>,
-    figures: [Figure; 3],
+    stats: [Stats; 3],
 }
 
-impl Trial {
-    fn arrive(&mut self, who: usize, token: u128) {
-        let urgent = who == 0 && self.order >= Order::Priority;
-        let name = NAMES[if self.order == Order::Fair { who } else { 1 }];
+impl Simulation {
+    fn arrive(&mut self, caller: usize, token: u128) {
+        let urgent = caller == 0 && self.order >= Order::Priority;
+        let name = CALLERS[if self.order == Order::Fair { caller } else { 1 }];
         let request = Request {
             token: Token(token),
             urgency: Urgency::ALL[usize::from(!urgent)],
@@ -66,10 +69,10 @@
         };
         let verdict = self.core.offer(self.now, request);
         let (Verdict::Start(id) | Verdict::Wait(id)) = verdict else {
-            self.figures[who].refused += 1;
+            self.stats[caller].refused += 1;
             return;
         };
-        self.who.insert(id, (who, self.now));
+        self.pending.insert(id, (caller, self.now));
         if verdict == Verdict::Start(id) {
             self.start(id);
         }
@@ -90,16 +93,16 @@
             self.ends.pop();
             let latency = self.now - since;
             self.core.finish(self.now, id, End::Answered { latency });
-            if let Some((who, asked)) = self.who.remove(&id) {
-                self.figures[who].spent.push(self.now - asked);
+            if let Some((caller, arrived)) = self.pending.remove(&id) {
+                self.stats[caller].latencies.push(self.now - arrived);
             }
         }
         for event in self.core.poll(self.now) {
             match event {
                 Event::Start { id } => self.start(id),
                 Event::Refuse { id, .. } => {
-                    if let Some((who, _)) = self.who.remove(&id) {
-                        self.figures[who].refused += 1;
+                    if let Some((caller, _)) = self.pending.remove(&id) {
+                        self.stats[caller].refused += 1;
                     }
                 }
             }
@@ -109,39 +112,39 @@
 
 fn run(name: &str, order: Order) {
     let begin = Instant::now();
-    let mut trial = Trial {
+    let mut simulation = Simulation {
         order,
         core: Builder::new(10).core(begin),
         now: begin,
         rng: Pcg64Mcg::seed_from_u64(7),
-        who: BTreeMap::new(),
+        pending: BTreeMap::new(),
         ends: BinaryHeap::new(),
-        figures: Default::default(),
+        stats: Default::default(),
     };
     let mut arrivals = Pcg64Mcg::seed_from_u64(11);
     let mut token = 0;
-    while trial.now < begin + LENGTH {
-        trial.now += STEP;
-        trial.end_runs();
-        let in_batch = (trial.now - begin).subsec_millis() >= 800;
-        for (who, rate) in [50.0, 300.0, if in_batch { 3000.0 } else { 0.0 }]
+    while simulation.now < begin + LENGTH {
+        simulation.now += STEP;
+        simulation.end_runs();
+        let in_batch = (simulation.now - begin).subsec_millis() >= 800;
+        for (caller, rate) in [50.0, 300.0, if in_batch { 3000.0 } else { 0.0 }]
             .into_iter()
             .enumerate()
         {
             if arrivals.random::<f64>() < rate * STEP.as_secs_f64() {
                 token += 1;
-                trial.arrive(who, token);
+                simulation.arrive(caller, token);
             }
         }
     }
-    for (who, mut figure) in trial.figures.into_iter().enumerate() {
-        figure.spent.sort();
-        let at = |share: f64| figure.spent[(figure.spent.len() as f64 * share) as usize];
+    for (caller, mut stats) in simulation.stats.into_iter().enumerate() {
+        stats.latencies.sort();
+        let at = |share: f64| stats.latencies[(stats.latencies.len() as f64 * share) as usize];
         println!(
             "{name:8} {:12} answered {} refused {} p50 {:.1?} p99 {:.1?}",
-            NAMES[who],
-            figure.spent.len(),
-            figure.refused,
+            CALLERS[caller],
+            stats.latencies.len(),
+            stats.refused,
             at(0.5),
             at(0.99),
         );
