--- a/bin/appleshore/src/explain.rs
+++ b/bin/appleshore/src/explain.rs
@@ -123,7 +123,7 @@
         return Err(Error::Usage(cause.to_string()));
     }
     let refused = |error| format!("the request is refused before any rule: malformed, {error}");
-    rule::path::clean(raw).map_err(|error| Error::NoRule(refused(error)))
+    rule::path::normalize(raw).map_err(|error| Error::NoRule(refused(error)))
 }
 
 fn headers(all: &[Header]) -> HeaderMap {
--- a/bin/appleshore/src/file.rs
+++ b/bin/appleshore/src/file.rs
@@ -59,11 +59,11 @@
     let Warning {
         position,
         rule,
-        shadow,
+        shadowed_by,
     } = warning;
     let (line, column) = (position.line, position.column);
     format!(
-        "{}:{line}:{column}: warning: rule {rule:?} can never match: rule {shadow:?} matches first",
+        "{}:{line}:{column}: warning: rule {rule:?} can never match: rule {shadowed_by:?} matches first",
         path.display()
     )
 }
--- a/crates/appleshore/src/daemon.rs
+++ b/crates/appleshore/src/daemon.rs
@@ -201,7 +201,7 @@
         let current = self.state.current.clone();
         move || {
             let rules = current.get();
-            let said = rules.map(|rules| *rules.document.bounds());
+            let said = rules.map(|rules| *rules.document.connection_limits());
             let said = said.unwrap_or_default();
             ConnectionLimits {
                 head: said.head.unwrap_or(limits.head),
--- a/crates/entry/src/handle.rs
+++ b/crates/entry/src/handle.rs
@@ -219,10 +219,10 @@
         origin: &Origin,
         parts: &Parts,
     ) -> Result<Matched<'a>, Refusal> {
-        let path = match document.reads_raw_paths() {
+        let path = match document.matches_raw_paths() {
             true => Cow::Borrowed(parts.uri.path()),
             false => {
-                let path = rule::path::clean(parts.uri.path());
+                let path = rule::path::normalize(parts.uri.path());
                 let path = path.map_err(|e| Refusal::not_run(Reason::Malformed).detail(e))?;
                 Cow::Owned(path)
             }
@@ -339,7 +339,7 @@
     }
 }
 
-fn refused_by_rule(refuse: &rule::Refuse) -> Refusal {
+fn refused_by_rule(refuse: &rule::Refusal) -> Refusal {
     let status = StatusCode::from_u16(refuse.status).unwrap_or(StatusCode::FORBIDDEN);
     Refusal::not_run(Reason::Rule)
         .status(status)
--- a/crates/feed/src/error.rs
+++ b/crates/feed/src/error.rs
@@ -35,7 +35,7 @@
         }
         /// A packed document is longer than any may be.
         Long {
-            display("packed rules are longer than {} bytes", rule::Document::MAX_TEXT)
+            display("packed rules are longer than {} bytes", rule::Document::MAX_TEXT_BYTES)
         }
         /// The instance gave no answer in time.
         Silent(peer: Instance) {
--- a/crates/feed/src/fetch.rs
+++ b/crates/feed/src/fetch.rs
@@ -22,7 +22,7 @@
 const PIECE: usize = 32 << 10;
 
 /// The longest packed text in bytes. What does not pack grows by a few bytes in a thousand.
-const LONGEST: usize = Document::MAX_TEXT + Document::MAX_TEXT / 100;
+const LONGEST: usize = Document::MAX_TEXT_BYTES + Document::MAX_TEXT_BYTES / 100;
 
 /// How long a piece may take before another holder is asked.
 const PIECE_WAIT: Duration = Duration::from_secs(1);
--- a/crates/feed/src/packed.rs
+++ b/crates/feed/src/packed.rs
@@ -49,19 +49,19 @@
         Ok(Packed::from(Bytes::from(packed.map_err(Error::Packed)?)))
     }
 
-    /// The text, which has at most [`Document::MAX_TEXT`] bytes whatever a peer has sent.
+    /// The text, which has at most [`Document::MAX_TEXT_BYTES`] bytes whatever a peer has sent.
     ///
     /// # Errors
     ///
     /// [`Error::Packed`] if the bytes are no packed text, [`Error::Long`] if it is longer.
     pub fn text(&self) -> Result<String, Error> {
         let mut text = String::new();
-        let bound = Document::MAX_TEXT as u64 + 1;
+        let bound = Document::MAX_TEXT_BYTES as u64 + 1;
         DeflateDecoder::new(self.bytes.as_ref())
             .take(bound)
             .read_to_string(&mut text)
             .map_err(Error::Packed)?;
-        if text.len() > Document::MAX_TEXT {
+        if text.len() > Document::MAX_TEXT_BYTES {
             return Err(Error::Long);
         }
         Ok(text)
--- a/crates/rule/src/bounds.rs
+++ b/crates/rule/src/connection_limits.rs
@@ -4,9 +4,9 @@
 
 use unit::Size;
 
-/// Bounds on callers; one that is not set keeps the default of the process.
+/// Limits on what callers may send; one that is not set keeps the default of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     /// Most bytes of a request's head.
     pub head: Option<Size>,
     /// Most bytes of a request's body.
--- a/crates/rule/src/document.rs
+++ b/crates/rule/src/document.rs
@@ -10,7 +10,7 @@
 use crate::explain::{self, Explanation};
 use crate::index::Index;
 use crate::shadow::{self, Warning};
-use crate::{Bounds, Error, Request, Target, Then, When, read};
+use crate::{ConnectionLimits, Error, Request, Target, Then, When, read};
 
 /// One rule: when this, then that.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 pub struct Document {
     text: String,
     caller_header: Option<HeaderName>,
-    bounds: Bounds,
+    connection_limits: ConnectionLimits,
     targets: BTreeMap<Service, Target>,
     rules: Vec<Rule>,
     /// Where each rule begins in the text.
@@ -39,7 +39,7 @@
 /// What the reader makes of a document's text.
 pub(crate) struct Content {
     pub(crate) caller_header: Option<HeaderName>,
-    pub(crate) bounds: Bounds,
+    pub(crate) connection_limits: ConnectionLimits,
     pub(crate) targets: BTreeMap<Service, Target>,
     pub(crate) rules: Vec<Rule>,
     /// Where each rule begins in the text.
@@ -48,7 +48,7 @@
 
 impl Document {
     /// Longest text of a document in bytes.
-    pub const MAX_TEXT: usize = 4_000_000;
+    pub const MAX_TEXT_BYTES: usize = 4_000_000;
     /// Most rules of a document.
     pub const MAX_RULES: usize = 20_000;
 
@@ -63,7 +63,7 @@
         Ok(Document {
             text: text.to_string(),
             caller_header: content.caller_header,
-            bounds: content.bounds,
+            connection_limits: content.connection_limits,
             targets: content.targets,
             index: Index::of(&content.rules),
             rules: content.rules,
@@ -77,8 +77,8 @@
     }
 
     /// What callers may send, and how long they may take; what is not said keeps its default.
-    pub fn bounds(&self) -> &Bounds {
-        &self.bounds
+    pub fn connection_limits(&self) -> &ConnectionLimits {
+        &self.connection_limits
     }
 
     /// How the targets of `service` are to be asked after their health, if the document says so.
@@ -90,7 +90,7 @@
     ///
     /// A prefix is compared byte for byte. Where no rule has a pattern, a path that the clean form
     /// refuses is none of the rules' business.
-    pub fn reads_raw_paths(&self) -> bool {
+    pub fn matches_raw_paths(&self) -> bool {
         let has_prefix = self.rules.iter().any(|rule| rule.when.prefix.is_some());
         has_prefix && self.rules.iter().all(|rule| rule.when.path.is_none())
     }
@@ -118,7 +118,7 @@
         let warnings = shadows.map(|shadow| Warning {
             position: lines.position(self.offsets[shadow.rule]),
             rule: self.rules[shadow.rule].name.clone(),
-            shadow: self.rules[shadow.by].name.clone(),
+            shadowed_by: self.rules[shadow.by].name.clone(),
         });
         warnings.collect()
     }
--- a/crates/rule/src/explain.rs
+++ b/crates/rule/src/explain.rs
@@ -9,29 +9,29 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Explanation {
     /// The rules before the one that matched, in order; all rules if none matched.
-    pub missed: Vec<Miss>,
+    pub mismatches: Vec<Mismatch>,
     /// The name of the rule that matched.
     pub matched: Option<String>,
 }
 
 /// Why one rule did not match.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display)]
-#[display("rule {rule:?} did not match: {field} is {saw}, expected {wanted}")]
-pub struct Miss {
+#[display("rule {rule:?} did not match: {field} is {actual}, expected {expected}")]
+pub struct Mismatch {
     /// The rule's name.
     pub rule: String,
     /// The first condition that did not hold.
     pub field: Field,
     /// What the request has there.
-    pub saw: String,
+    pub actual: String,
     /// What the rule asks for.
-    pub wanted: String,
+    pub expected: String,
 }
 
 impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for miss in &self.missed {
-            writeln!(f, "{miss}")?;
+        for mismatch in &self.mismatches {
+            writeln!(f, "{mismatch}")?;
         }
         match &self.matched {
             Some(rule) => write!(f, "rule {rule:?} matched"),
@@ -41,24 +41,30 @@
 }
 
 pub(crate) fn explain(rules: &[Rule], request: &Request<'_>) -> Explanation {
-    let mut missed = Vec::new();
+    let mut mismatches = Vec::new();
     for rule in rules {
         let Some(field) = rule.when.first_failure(request) else {
             let matched = Some(rule.name.clone());
-            return Explanation { missed, matched };
+            return Explanation {
+                mismatches,
+                matched,
+            };
         };
-        missed.push(Miss {
+        mismatches.push(Mismatch {
             rule: rule.name.clone(),
-            saw: saw(&field, request),
-            wanted: wanted(&field, &rule.when),
+            actual: actual(&field, request),
+            expected: expected(&field, &rule.when),
             field,
         });
     }
     let matched = None;
-    Explanation { missed, matched }
+    Explanation {
+        mismatches,
+        matched,
+    }
 }
 
-fn saw(field: &Field, request: &Request<'_>) -> String {
+fn actual(field: &Field, request: &Request<'_>) -> String {
     match field {
         Field::Service => request.service.map_or(ABSENT.to_string(), quoted),
         Field::Method => request.method.to_string(),
@@ -74,7 +80,7 @@
     }
 }
 
-fn wanted(field: &Field, when: &When) -> String {
+fn expected(field: &Field, when: &When) -> String {
     match field {
         Field::Service => listed(&when.services),
         Field::Method => when
--- a/crates/rule/src/key.rs
+++ b/crates/rule/src/key.rs
@@ -21,7 +21,7 @@
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum KeyError {
         /// The key is longer than [`Key::MAX`].
-        Long(key: Key, bytes: usize) {
+        TooLong(key: Key, bytes: usize) {
             display("{key}: {bytes} bytes are too many: at most {} are allowed", Key::MAX)
         }
         /// The key stands there more than once.
@@ -29,7 +29,7 @@
             display("{key}: given more than once")
         }
         /// The key is not readable text.
-        Text(key: Key) {
+        NotText(key: Key) {
             display("{key}: not readable text")
         }
     }
@@ -55,8 +55,10 @@
         };
         let found = found.filter(|text| !text.is_empty());
         match found {
-            Some(text) if text.len() > Key::MAX => Err(KeyError::Long(self.clone(), text.len())),
-            Some(text) if text.chars().any(char::is_control) => Err(KeyError::Text(self.clone())),
+            Some(text) if text.len() > Key::MAX => Err(KeyError::TooLong(self.clone(), text.len())),
+            Some(text) if text.chars().any(char::is_control) => {
+                Err(KeyError::NotText(self.clone()))
+            }
             found => Ok(found),
         }
     }
@@ -73,7 +75,7 @@
             return Err(KeyError::Repeated(self.clone()));
         }
         let text = std::str::from_utf8(value.as_bytes());
-        let text = text.map_err(|_| KeyError::Text(self.clone()))?;
+        let text = text.map_err(|_| KeyError::NotText(self.clone()))?;
         Ok(Some(text.trim().to_string()))
     }
 
@@ -87,7 +89,7 @@
             if found.is_some() {
                 return Err(KeyError::Repeated(self.clone()));
             }
-            let value = form_decode(value).ok_or_else(|| KeyError::Text(self.clone()))?;
+            let value = form_decode(value).ok_or_else(|| KeyError::NotText(self.clone()))?;
             found = Some(value.trim().to_string());
         }
         Ok(found)
--- a/crates/rule/src/lib.rs
+++ b/crates/rule/src/lib.rs
@@ -25,7 +25,7 @@
 //!
 //! let headers = HeaderMap::new();
 //! let caller = document.caller(&headers, [10, 0, 0, 7].into());
-//! let path = rule::path::clean("/vault//destroy/41")?;
+//! let path = rule::path::normalize("/vault//destroy/41")?;
 //! let request = Request {
 //!     service: None,
 //!     method: &Method::POST,
@@ -41,7 +41,7 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod bounds;
+mod connection_limits;
 mod document;
 mod explain;
 mod index;
@@ -56,13 +56,13 @@
 mod then;
 mod when;
 
-pub use bounds::Bounds;
+pub use connection_limits::ConnectionLimits;
 pub use document::{Document, Rule};
-pub use explain::{Explanation, Miss};
+pub use explain::{Explanation, Mismatch};
 pub use jsonc::{Error, Fault, Position};
 pub use key::{Key, KeyError};
 pub use request::Request;
 pub use shadow::Warning;
 pub use target::Target;
-pub use then::{Part, Preference, Refuse, Route, Then};
+pub use then::{Preference, Refusal, Route, Then, WeightedService};
 pub use when::{Field, Header, When};
--- a/crates/rule/src/path.rs
+++ b/crates/rule/src/path.rs
@@ -1,7 +1,7 @@
 //! The one form of a path that rules match on.
 //!
 //! A rule such as "destruction orders run once" is worth nothing if a caller can spell the path so
-//! that the rule misses it and the target still understands it. So [`clean`] reads a path the way
+//! that the rule misses it and the target still understands it. So [`normalize`] reads a path the way
 //! the most lenient target would, and refuses what lenient targets read differently:
 //!
 //! | in the path | what we do |
@@ -23,7 +23,7 @@
 use crate::percent;
 
 /// Longest path in bytes.
-pub const MAX_PATH: usize = 8_192;
+pub const MAX_PATH_BYTES: usize = 8_192;
 
 quick_error! {
     /// Why a path is refused; the entry answers 400 and the request never runs.
@@ -33,24 +33,24 @@
         Relative {
             display("the path does not begin with '/'")
         }
-        /// The path is longer than [`MAX_PATH`].
-        Long(bytes: usize) {
-            display("the path has {bytes} bytes: at most {MAX_PATH} are allowed")
+        /// The path is longer than [`MAX_PATH_BYTES`].
+        TooLong(bytes: usize) {
+            display("the path has {bytes} bytes: at most {MAX_PATH_BYTES} are allowed")
         }
         /// A segment's percent-encoding is broken or not UTF-8.
-        Encoding(segment: String) {
+        InvalidEncoding(segment: String) {
             display("the path segment {segment:?} is not percent-encoded UTF-8")
         }
         /// A segment is still percent-encoded after it was decoded.
-        Twice(segment: String) {
+        DoubleEncoded(segment: String) {
             display("the path segment {segment:?} is percent-encoded twice")
         }
         /// A segment is `.` or `..`.
-        Dots(segment: String) {
+        DotSegment(segment: String) {
             display("the path segment {segment:?} is a dot segment")
         }
         /// A segment holds a slash, a backslash or a control character.
-        Character(segment: String) {
+        ForbiddenCharacter(segment: String) {
             display("the path segment {segment:?} holds a slash, backslash or control character")
         }
     }
@@ -62,23 +62,23 @@
 /// result is for matching only: the target gets the path as the caller sent it.
 ///
 /// ```
-/// use rule::path::clean;
+/// use rule::path::normalize;
 ///
-/// assert_eq!(clean("/vault//%64estroy/7/").as_deref(), Ok("/vault/destroy/7"));
-/// assert!(clean("/public/%2e%2e/vault").is_err());
+/// assert_eq!(normalize("/vault//%64estroy/7/").as_deref(), Ok("/vault/destroy/7"));
+/// assert!(normalize("/public/%2e%2e/vault").is_err());
 /// ```
 ///
 /// # Errors
 ///
 /// A [`PathError`] that names the segment that targets would read in different ways.
-pub fn clean(raw: &str) -> Result<String, PathError> {
-    if raw.len() > MAX_PATH {
-        return Err(PathError::Long(raw.len()));
+pub fn normalize(raw: &str) -> Result<String, PathError> {
+    if raw.len() > MAX_PATH_BYTES {
+        return Err(PathError::TooLong(raw.len()));
     }
     let inner = raw.strip_prefix('/').ok_or(PathError::Relative)?;
     let mut cleaned = String::with_capacity(raw.len());
     for segment in inner.split('/') {
-        let segment = clean_segment(segment)?;
+        let segment = normalize_segment(segment)?;
         if !segment.is_empty() {
             cleaned.push('/');
             cleaned.push_str(&segment);
@@ -90,19 +90,20 @@
     Ok(cleaned)
 }
 
-fn clean_segment(raw: &str) -> Result<String, PathError> {
-    let decoded = percent::decode(raw).ok_or_else(|| PathError::Encoding(raw.to_string()))?;
+fn normalize_segment(raw: &str) -> Result<String, PathError> {
+    let decoded =
+        percent::decode(raw).ok_or_else(|| PathError::InvalidEncoding(raw.to_string()))?;
     if percent::is_encoded(&decoded) {
-        return Err(PathError::Twice(raw.to_string()));
+        return Err(PathError::DoubleEncoded(raw.to_string()));
     }
     if decoded.chars().any(is_refused) {
-        return Err(PathError::Character(raw.to_string()));
+        return Err(PathError::ForbiddenCharacter(raw.to_string()));
     }
     // Servlet containers cut `;...` off before they resolve dots, so that `/a/..;/b` is `/b` to
     // them. We cut it off before the check for dots, which then sees what they would see.
     let name = decoded.split(';').next().unwrap_or(&decoded);
     if matches!(name, "." | "..") {
-        return Err(PathError::Dots(raw.to_string()));
+        return Err(PathError::DotSegment(raw.to_string()));
     }
     Ok(name.to_string())
 }
--- a/crates/rule/src/pattern.rs
+++ b/crates/rule/src/pattern.rs
@@ -62,7 +62,7 @@
 }
 
 impl Path {
-    /// Whether the pattern matches a path that [`clean`](crate::path::clean) gave.
+    /// Whether the pattern matches a path that [`normalize`](crate::path::normalize) gave.
     pub fn matches(&self, path: &str) -> bool {
         let mut tail = path;
         for segment in &self.segments {
--- a/crates/rule/src/read.rs
+++ b/crates/rule/src/read.rs
@@ -1,6 +1,6 @@
 //! Turns the text of a document into rules.
 
-mod bounds;
+mod connection_limits;
 mod target;
 mod then;
 mod when;
@@ -18,15 +18,15 @@
 const MAX_NAME: usize = 128;
 
 pub(crate) fn content(text: &str) -> Result<Content, Error> {
-    jsonc::read(text, Document::MAX_TEXT, document)
+    jsonc::read(text, Document::MAX_TEXT_BYTES, document)
 }
 
 fn document<'t>(reader: &mut Reader<'t>, root: &Value<'t>) -> Option<Content> {
     let fields = reader.object(root, &["caller", "rules", "limits", "targets"])?;
     let caller_header = fields.get("caller").and_then(|value| caller(reader, value));
-    let bounds = fields
+    let connection_limits = fields
         .get("limits")
-        .and_then(|value| bounds::bounds(reader, value));
+        .and_then(|value| connection_limits::connection_limits(reader, value));
     let targets = fields
         .get("targets")
         .map(|value| target::targets(reader, value));
@@ -34,7 +34,7 @@
     let list = reader.list(list, Document::MAX_RULES)?;
     let mut content = Content {
         caller_header,
-        bounds: bounds.unwrap_or_default(),
+        connection_limits: connection_limits.unwrap_or_default(),
         targets: targets.unwrap_or_default(),
         rules: Vec::with_capacity(list.len()),
         offsets: Vec::with_capacity(list.len()),
--- a/crates/rule/src/read/bounds.rs
+++ b/crates/rule/src/read/connection_limits.rs
@@ -5,16 +5,19 @@
 use jsonc::{Fields, Reader, Value};
 use unit::{Size, Span};
 
-use crate::Bounds;
+use crate::ConnectionLimits;
 
 const FIELDS: [&str; 4] = ["head", "body", "head_timeout", "idle"];
 
 /// A longer time is most likely a unit mistaken for another.
 const MAX_TIME: Duration = Duration::from_secs(3_600);
 
-pub(super) fn bounds<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Bounds> {
+pub(super) fn connection_limits<'t>(
+    reader: &mut Reader<'t>,
+    value: &Value<'t>,
+) -> Option<ConnectionLimits> {
     let fields = reader.object(value, &FIELDS)?;
-    Some(Bounds {
+    Some(ConnectionLimits {
         head: size(reader, &fields, "head"),
         body: size(reader, &fields, "body"),
         head_timeout: time(reader, &fields, "head_timeout"),
--- a/crates/rule/src/read/target.rs
+++ b/crates/rule/src/read/target.rs
@@ -6,7 +6,7 @@
 use unit::Service;
 
 use crate::Target;
-use crate::path::MAX_PATH;
+use crate::path::MAX_PATH_BYTES;
 
 const FIELDS: [&str; 2] = ["health", "connections"];
 const MAX_CONNECTIONS: u32 = 1_000_000;
@@ -44,7 +44,7 @@
 fn path<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<String> {
     let text = reader.text(value)?;
     let graphic = text.bytes().all(|byte| byte.is_ascii_graphic());
-    if !text.starts_with('/') || text.len() > MAX_PATH || !graphic {
+    if !text.starts_with('/') || text.len() > MAX_PATH_BYTES || !graphic {
         let cause = format!("{text:?} is no path: expected one that begins with a slash");
         reader.fault_at(value, cause);
         return None;
--- a/crates/rule/src/read/then.rs
+++ b/crates/rule/src/read/then.rs
@@ -6,7 +6,7 @@
 use unit::{Size, Span, Urgency};
 
 use super::header_name;
-use crate::{Key, Part, Preference, Refuse, Route, Then};
+use crate::{Key, Preference, Refusal, Route, Then, WeightedService};
 
 const FIELDS: [&str; 16] = [
     "service",
@@ -63,13 +63,13 @@
     }
 }
 
-fn refuse<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Refuse> {
+fn refuse<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Refusal> {
     let fields = reader.object(value, &["status", "reason"])?;
     let status = reader.required(&fields, "status");
     let status = status.and_then(|value| reader.whole(value, 400..=599));
     let reason = reader.required(&fields, "reason");
     let reason = reason.and_then(|value| reason_text(reader, value));
-    Some(Refuse {
+    Some(Refusal {
         status: u16::try_from(status?).ok()?,
         reason: reason?,
     })
@@ -150,7 +150,7 @@
 }
 
 /// Reads the parts of a route; those of no weight get no requests and are left out.
-fn split<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Vec<Part>> {
+fn split<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Vec<WeightedService>> {
     let list = reader.list(value, MAX_PARTS)?;
     let mut parts = Vec::with_capacity(list.len());
     for value in list {
@@ -162,7 +162,7 @@
         let weight = reader.required(&fields, "weight");
         let weight = weight.and_then(|value| reader.count(value, 0..=MAX_SHARE));
         if let (Some(service), Some(weight)) = (service, weight) {
-            parts.push(Part { service, weight });
+            parts.push(WeightedService { service, weight });
         }
     }
     if parts.iter().all(|part| part.weight == 0) {
--- a/crates/rule/src/read/when.rs
+++ b/crates/rule/src/read/when.rs
@@ -8,7 +8,7 @@
 
 use super::bad_header;
 use crate::When;
-use crate::path::MAX_PATH;
+use crate::path::MAX_PATH_BYTES;
 use crate::when::Header;
 
 const FIELDS: [&str; 8] = [
@@ -62,9 +62,9 @@
 
 fn prefix<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<String> {
     let text = reader.text(value)?;
-    if !text.starts_with('/') || !text.ends_with('/') || text.len() > MAX_PATH {
+    if !text.starts_with('/') || !text.ends_with('/') || text.len() > MAX_PATH_BYTES {
         let cause = format!(
-            "{text:?} is no prefix: expected at most {MAX_PATH} bytes with a slash at both ends"
+            "{text:?} is no prefix: expected at most {MAX_PATH_BYTES} bytes with a slash at both ends"
         );
         reader.fault_at(value, cause);
         return None;
--- a/crates/rule/src/request.rs
+++ b/crates/rule/src/request.rs
@@ -10,7 +10,7 @@
     pub service: Option<&'a Service>,
     /// The method.
     pub method: &'a Method,
-    /// The path in the form that [`path::clean`](crate::path::clean) gives.
+    /// The path in the form that [`path::normalize`](crate::path::normalize) gives.
     pub path: &'a str,
     /// The raw query, without the `?`.
     pub query: Option<&'a str>,
--- a/crates/rule/src/shadow.rs
+++ b/crates/rule/src/shadow.rs
@@ -8,14 +8,14 @@
 
 /// A rule that can never match, because an earlier one takes all its requests.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-#[display("{position}: rule {rule:?} can never match: rule {shadow:?} matches first")]
+#[display("{position}: rule {rule:?} can never match: rule {shadowed_by:?} matches first")]
 pub struct Warning {
     /// The place of the rule.
     pub position: Position,
     /// The rule's name.
     pub rule: String,
     /// The name of the first rule that takes all its requests.
-    pub shadow: String,
+    pub shadowed_by: String,
 }
 
 /// The number of a rule that can never match, and that of the first rule that covers it.
--- a/crates/rule/src/then.rs
+++ b/crates/rule/src/then.rs
@@ -12,7 +12,7 @@
     /// The request goes to a service.
     Route(Route),
     /// The request is refused at the entry and never runs.
-    Refuse(Refuse),
+    Refuse(Refusal),
 }
 
 /// Where a request goes and how it is treated on the way.
@@ -21,7 +21,7 @@
     /// The service whose targets answer.
     pub service: Service,
     /// Services that share the requests by weight; empty where [`Route::service`] gets them all.
-    pub split: Vec<Part>,
+    pub split: Vec<WeightedService>,
     /// How soon the request must be served; `routine` where the rule says nothing.
     pub urgency: Urgency,
     /// The rank by which the reader of the document has worked out the urgency; 0 is the highest.
@@ -59,7 +59,7 @@
 
 /// One service's part of a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct WeightedService {
     /// The service.
     pub service: Service,
     /// Its share of the requests, against the weights of the others.
@@ -68,7 +68,7 @@
 
 /// A refusal at the entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refuse {
+pub struct Refusal {
     /// The HTTP status, 400 to 599.
     pub status: u16,
     /// Why, in words for the caller.
--- a/crates/rule/tests/bounds.rs
+++ b/crates/rule/tests/bounds.rs
@@ -18,7 +18,7 @@
     let warnings = document.check();
     assert_eq!(warnings.len(), Document::MAX_RULES / 2);
     assert_eq!(
-        (warnings[0].rule.as_str(), warnings[0].shadow.as_str()),
+        (warnings[0].rule.as_str(), warnings[0].shadowed_by.as_str()),
         ("1", "0")
     );
     assert_eq!(warnings[0].position.line, 1);
@@ -29,7 +29,7 @@
     let error = Document::parse(&rules(Document::MAX_RULES + 1)).unwrap_err();
     let expected = "line 1, column 10: a list of 20001 elements: expected 1 to 20000";
     assert_eq!(error.to_string(), expected);
-    let long = " ".repeat(Document::MAX_TEXT + 1);
+    let long = " ".repeat(Document::MAX_TEXT_BYTES + 1);
     let error = Document::parse(&long).unwrap_err();
     let expected = "line 1, column 1: 4000001 bytes are too many: expected at most 4000000";
     assert_eq!(error.to_string(), expected);
--- a/crates/rule/tests/decide.rs
+++ b/crates/rule/tests/decide.rs
@@ -257,11 +257,11 @@
         find("slip=1&%73lip=2"),
         Err(KeyError::Repeated(key.clone()))
     );
-    assert_eq!(find("slip=%ZZ"), Err(KeyError::Text(key.clone())));
-    assert_eq!(find("slip=a%0Ab"), Err(KeyError::Text(key.clone())));
+    assert_eq!(find("slip=%ZZ"), Err(KeyError::NotText(key.clone())));
+    assert_eq!(find("slip=a%0Ab"), Err(KeyError::NotText(key.clone())));
     assert!(find(&format!("slip={}", "x".repeat(512))).is_ok());
     let long = find(&format!("slip={}", "x".repeat(513)));
-    assert_eq!(long, Err(KeyError::Long(key.clone(), 513)));
+    assert_eq!(long, Err(KeyError::TooLong(key.clone(), 513)));
 }
 
 #[test]
--- a/crates/rule/tests/path.rs
+++ b/crates/rule/tests/path.rs
@@ -1,6 +1,6 @@
 //! Spellings of a path that would pass by a rule.
 
-use rule::path::{PathError, clean};
+use rule::path::{PathError, normalize};
 use rule::pattern::Path;
 
 /// The caller of a destruction order wants it run without the rule that makes it run once. It
@@ -18,7 +18,7 @@
         "/;x/vault/destroy/7",
         "/vault%3Bx/destroy/7",
     ] {
-        let cleaned = clean(raw).unwrap();
+        let cleaned = normalize(raw).unwrap();
         assert!(pattern.matches(&cleaned), "{raw} became {cleaned}");
     }
     for raw in [
@@ -38,21 +38,21 @@
         "vault/destroy/7",
         "*",
     ] {
-        assert!(clean(raw).is_err(), "{raw} was taken");
+        assert!(normalize(raw).is_err(), "{raw} was taken");
     }
 }
 
 #[test]
 fn keeps_what_targets_read_alike() {
-    assert_eq!(clean("/").as_deref(), Ok("/"));
+    assert_eq!(normalize("/").as_deref(), Ok("/"));
     assert_eq!(
-        clean("/files/%C4%91%E1%BA%A5t").as_deref(),
+        normalize("/files/%C4%91%E1%BA%A5t").as_deref(),
         Ok("/files/đất")
     );
-    assert_eq!(clean("/files/100%25").as_deref(), Ok("/files/100%"));
-    assert_eq!(clean("/files/...").as_deref(), Ok("/files/..."));
+    assert_eq!(normalize("/files/100%25").as_deref(), Ok("/files/100%"));
+    assert_eq!(normalize("/files/...").as_deref(), Ok("/files/..."));
     let long = format!("/{}", "a".repeat(8_192));
-    assert_eq!(clean(&long), Err(PathError::Long(8_193)));
+    assert_eq!(normalize(&long), Err(PathError::TooLong(8_193)));
 }
 
 #[test]
--- a/crates/rule/tests/routes.rs
+++ b/crates/rule/tests/routes.rs
@@ -37,7 +37,7 @@
 #[test]
 fn host_and_prefix_decide_byte_for_byte() {
     let document = Document::parse(RULES).expect("rules");
-    assert!(document.reads_raw_paths());
+    assert!(document.matches_raw_paths());
     let found = |host, path| decide(&document, host, path);
     assert_eq!(found("desk.example", "/a/b/c").as_deref(), Some("deep"));
     assert_eq!(found("DESK.example:8080", "/a/bc").as_deref(), Some("wide"));
@@ -66,7 +66,10 @@
     assert!(!rest.repeatable());
     let services: Vec<&str> = document.services().iter().map(|s| s.as_str()).collect();
     assert_eq!(services, ["desk"]);
-    assert_eq!(document.bounds().idle.map(|idle| idle.as_secs()), Some(15));
+    assert_eq!(
+        document.connection_limits().idle.map(|idle| idle.as_secs()),
+        Some(15)
+    );
     let target = document.target(&"desk".parse().expect("a name"));
     assert_eq!(
         target.and_then(|target| target.health.as_deref()),
