--- a/crates/rule/src/read.rs
+++ b/crates/rule/src/read.rs
@@ -1,4 +1,4 @@
-//! Turns the text of a document into rules.
+//! Parses the text of a document.
 
 mod connection_limits;
 mod target;
@@ -14,8 +14,8 @@
 use crate::document::Content;
 use crate::{Document, Route, Rule, Then};
 
-/// Longest name of a rule in bytes.
-const MAX_NAME: usize = 128;
+/// Maximum length of a rule's name in bytes.
+const MAX_NAME_BYTES: usize = 128;
 
 pub(crate) fn content(text: &str) -> Result<Content, Error> {
     jsonc::read(text, Document::MAX_TEXT_BYTES, document)
@@ -46,13 +46,14 @@
             content.offsets.push(jsonc::offset(value));
         }
     }
-    rank(&mut content.rules);
+    derive_urgencies(&mut content.rules);
     Some(content)
 }
 
-/// Works out the urgency of routes with a priority: the first that occurs is urgent, the next
-/// routine, and all others are batch work.
-fn rank(rules: &mut [Rule]) {
+/// Derives the urgency of routes that have a priority.
+///
+/// Of the priorities in use, the lowest number is urgent, the next one routine, all others batch.
+fn derive_urgencies(rules: &mut [Rule]) {
     let mut routes: Vec<&mut Route> = rules
         .iter_mut()
         .filter_map(|rule| match &mut rule.then {
@@ -65,9 +66,9 @@
         let Some(priority) = route.priority else {
             continue;
         };
-        let place = priorities.range(..priority).count();
+        let rank = priorities.range(..priority).count();
         let last = Urgency::ALL.len() - 1;
-        route.urgency = Urgency::ALL[place.min(last)];
+        route.urgency = Urgency::ALL[rank.min(last)];
     }
 }
 
@@ -83,7 +84,7 @@
     names: &mut BTreeMap<String, usize>,
 ) -> Option<Rule> {
     let fields = reader.object(value, &["name", "when", "then"])?;
-    // Each part is read before any is asked for, so that one bad part hides no other's faults.
+    // All fields are read before the first `?`, so that a fault in one doesn't hide others.
     let name = reader.required(&fields, "name");
     let name = name.and_then(|value| rule_name(reader, value, names));
     let when = match fields.get("when") {
@@ -105,8 +106,11 @@
     names: &mut BTreeMap<String, usize>,
 ) -> Option<String> {
     let name = reader.text(value)?;
-    if name.is_empty() || name.len() > MAX_NAME || name.chars().any(char::is_control) {
-        let cause = format!("{name:?} is no rule name: expected 1 to {MAX_NAME} bytes of text");
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
+        let cause = format!(
+            "{name:?} is not a rule name: expected 1 to {MAX_NAME_BYTES} bytes without control \
+             characters"
+        );
         reader.fault_at(value, cause);
         return None;
     }
@@ -124,11 +128,11 @@
     let text = reader.text(value)?;
     let name = HeaderName::from_bytes(text.as_bytes()).ok();
     if name.is_none() {
-        reader.fault_at(value, bad_header(text));
+        reader.fault_at(value, invalid_header_name(text));
     }
     name
 }
 
-fn bad_header(text: &str) -> String {
-    format!("{text:?} is no header name: expected a name such as x-caller")
+fn invalid_header_name(text: &str) -> String {
+    format!("{text:?} is not a header name: expected a name such as x-caller")
 }
--- a/crates/rule/src/read/connection_limits.rs
+++ b/crates/rule/src/read/connection_limits.rs
@@ -1,4 +1,4 @@
-//! Reads the bounds on callers.
+//! Parses the limits on what callers may send.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 
 const FIELDS: [&str; 4] = ["head", "body", "head_timeout", "idle"];
 
-/// A longer time is most likely a unit mistaken for another.
-const MAX_TIME: Duration = Duration::from_secs(3_600);
+/// Maximum of the time limits; a longer time is most likely a mistaken unit.
+const MAX_DURATION: Duration = Duration::from_secs(3_600);
 
 pub(super) fn connection_limits<'t>(
     reader: &mut Reader<'t>,
@@ -20,8 +20,8 @@
     Some(ConnectionLimits {
         head: size(reader, &fields, "head"),
         body: size(reader, &fields, "body"),
-        head_timeout: time(reader, &fields, "head_timeout"),
-        idle: time(reader, &fields, "idle"),
+        head_timeout: duration(reader, &fields, "head_timeout"),
+        idle: duration(reader, &fields, "idle"),
     })
 }
 
@@ -30,17 +30,17 @@
     reader.parsed(value)
 }
 
-fn time<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>, name: &str) -> Option<Duration> {
+fn duration<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>, name: &str) -> Option<Duration> {
     let value = fields.get(name)?;
-    let Span(time) = reader.parsed(value)?;
-    if time.is_zero() || time > MAX_TIME {
+    let Span(duration) = reader.parsed(value)?;
+    if duration.is_zero() || duration > MAX_DURATION {
         let cause = format!(
             "a {name} of {}: expected more than 0s and at most {}",
-            Span(time),
-            Span(MAX_TIME)
+            Span(duration),
+            Span(MAX_DURATION)
         );
         reader.fault_at(value, cause);
         return None;
     }
-    Some(time)
+    Some(duration)
 }
--- a/crates/rule/src/read/target.rs
+++ b/crates/rule/src/read/target.rs
@@ -1,4 +1,4 @@
-//! Reads what the targets of services have in common.
+//! Parses the settings of services' targets.
 
 use std::collections::BTreeMap;
 
@@ -31,7 +31,9 @@
 
 fn target<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Target> {
     let fields = reader.object(value, &FIELDS)?;
-    let health = fields.get("health").and_then(|value| path(reader, value));
+    let health = fields
+        .get("health")
+        .and_then(|value| health_path(reader, value));
     let connections = fields
         .get("connections")
         .and_then(|value| reader.count(value, 1..=MAX_CONNECTIONS));
@@ -41,11 +43,14 @@
     })
 }
 
-fn path<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<String> {
+fn health_path<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<String> {
     let text = reader.text(value)?;
     let graphic = text.bytes().all(|byte| byte.is_ascii_graphic());
     if !text.starts_with('/') || text.len() > MAX_PATH_BYTES || !graphic {
-        let cause = format!("{text:?} is no path: expected one that begins with a slash");
+        let cause = format!(
+            "{text:?} is not a path: expected at most {MAX_PATH_BYTES} bytes of printable ASCII \
+             that begin with a slash"
+        );
         reader.fault_at(value, cause);
         return None;
     }
--- a/crates/rule/src/read/then.rs
+++ b/crates/rule/src/read/then.rs
@@ -1,4 +1,4 @@
-//! Reads what a rule does.
+//! Parses the action of a rule.
 
 use std::time::Duration;
 
@@ -27,35 +27,35 @@
     "attempts",
 ];
 
-/// Longest timeout; a caller that waits longer has long gone.
+/// Maximum timeout and objective; callers don't wait longer than this.
 const MAX_TIMEOUT: Duration = Duration::from_secs(3_600);
 const MAX_RETRIES: u32 = 10;
 const MAX_ATTEMPTS: u32 = 100;
 const MAX_PRIORITY: u32 = 1_000;
-const MAX_PARTS: usize = 64;
-const MAX_SHARE: u32 = 1_000_000;
+const MAX_SPLIT_SERVICES: usize = 64;
+const MAX_SPLIT_WEIGHT: u32 = 1_000_000;
 const MAX_PER_CALLER: u32 = 100_000;
 const MAX_WEIGHT: u32 = 1_000;
-const MAX_MEASURING: Size = Size::of(1_000_000);
-const MAX_REASON: usize = 256;
-const MAX_PARAMETER: usize = 128;
+const MAX_MEASURING_PER_SECOND: Size = Size::of(1_000_000);
+const MAX_REASON_BYTES: usize = 256;
+const MAX_PARAMETER_BYTES: usize = 128;
 
 pub(super) fn then<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Then> {
     let fields = reader.object(value, &FIELDS)?;
     match fields.get("refuse") {
         Some(value) => {
-            check_alone(reader, &fields);
+            check_refuse_alone(reader, &fields);
             refuse(reader, value).map(Then::Refuse)
         }
         None => route(reader, &fields).map(Then::Route),
     }
 }
 
-fn check_alone<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>) {
+fn check_refuse_alone<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>) {
     for field in fields.iter() {
         if field.name != "refuse" && FIELDS.contains(&field.name) {
             let cause = format!(
-                "{:?} beside \"refuse\": expected one of the two",
+                "{:?} together with \"refuse\": expected only one of the two",
                 field.name
             );
             reader.fault(field.at, cause);
@@ -77,8 +77,9 @@
 
 fn reason_text<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<String> {
     let text = reader.text(value)?;
-    if text.is_empty() || text.len() > MAX_REASON || text.chars().any(char::is_control) {
-        let cause = format!("{text:?} is no reason: expected one line of 1 to {MAX_REASON} bytes");
+    if text.is_empty() || text.len() > MAX_REASON_BYTES || text.chars().any(char::is_control) {
+        let cause =
+            format!("{text:?} is not a reason: expected one line of 1 to {MAX_REASON_BYTES} bytes");
         reader.fault_at(value, cause);
         return None;
     }
@@ -88,15 +89,15 @@
 fn route<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>) -> Option<Route> {
     let split = fields.get("split").and_then(|value| split(reader, value));
     let service = match (&split, fields.get("split")) {
-        (Some(parts), _) => parts.first().map(|part| part.service.clone()),
-        // Its faults are noted already.
+        (Some(services), _) => services.first().map(|weighted| weighted.service.clone()),
+        // The faults of `split` are already reported.
         (None, Some(_)) => None,
         (None, None) => service(reader, fields),
     };
     let priority = count(reader, fields, "priority", 0, MAX_PRIORITY);
     let objective = fields
         .get("objective")
-        .and_then(|value| span(reader, value, "an objective"));
+        .and_then(|value| duration(reader, value, "an objective"));
     let repeat = fields.get("repeat").and_then(|value| reader.flag(value));
     let attempts = count(reader, fields, "attempts", 1, MAX_ATTEMPTS);
     let urgency = fields
@@ -117,7 +118,7 @@
         .get("measuring")
         .and_then(|value| measuring(reader, value));
     check_hedge(reader, fields, hedge);
-    check_pairs(reader, fields);
+    check_exclusive_pairs(reader, fields);
     let default = Route::to(service?);
     Some(Route {
         split: split.unwrap_or_default(),
@@ -149,10 +150,10 @@
     reader.parsed(value)
 }
 
-/// Reads the parts of a route; those of no weight get no requests and are left out.
+/// Parses the weighted services of a route; those with weight 0 are left out.
 fn split<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Vec<WeightedService>> {
-    let list = reader.list(value, MAX_PARTS)?;
-    let mut parts = Vec::with_capacity(list.len());
+    let list = reader.list(value, MAX_SPLIT_SERVICES)?;
+    let mut services = Vec::with_capacity(list.len());
     for value in list {
         let Some(fields) = reader.object(value, &["service", "weight"]) else {
             continue;
@@ -160,37 +161,41 @@
         let service = reader.required(&fields, "service");
         let service = service.and_then(|value| reader.parsed(value));
         let weight = reader.required(&fields, "weight");
-        let weight = weight.and_then(|value| reader.count(value, 0..=MAX_SHARE));
+        let weight = weight.and_then(|value| reader.count(value, 0..=MAX_SPLIT_WEIGHT));
         if let (Some(service), Some(weight)) = (service, weight) {
-            parts.push(WeightedService { service, weight });
+            services.push(WeightedService { service, weight });
         }
     }
-    if parts.iter().all(|part| part.weight == 0) {
-        reader.fault_at(value, "no part has a weight: expected one above 0");
+    if services.iter().all(|weighted| weighted.weight == 0) {
+        reader.fault_at(value, "all weights are 0: expected at least one above 0");
         return None;
     }
-    parts.retain(|part| part.weight > 0);
-    Some(parts)
+    services.retain(|weighted| weighted.weight > 0);
+    Some(services)
 }
 
-/// Fields of which a rule gives one and not both.
-const PAIRS: [(&str, &str); 3] = [
+/// Pairs of fields that exclude each other.
+const EXCLUSIVE_PAIRS: [(&str, &str); 3] = [
     ("service", "split"),
     ("urgency", "priority"),
     ("once", "repeat"),
 ];
 
-fn check_pairs<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>) {
-    for (one, other) in PAIRS {
+fn check_exclusive_pairs<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>) {
+    for (one, other) in EXCLUSIVE_PAIRS {
         let given = |name: &str| fields.iter().find(|field| field.name == name);
         if let (Some(_), Some(field)) = (given(one), given(other)) {
-            let cause = format!("\"{other}\" beside \"{one}\": expected one of the two");
+            let cause =
+                format!("\"{other}\" together with \"{one}\": expected only one of the two");
             reader.fault(field.at, cause);
         }
     }
 }
 
-/// A hedge sends the request a second time while the first may run, which `once` rules out.
+/// Refuses `hedge` together with `once`.
+///
+/// A hedge sends the request a second time while the first attempt may still run, so the request
+/// could run twice.
 fn check_hedge<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>, hedge: Option<bool>) {
     if hedge != Some(true) || fields.get("once").is_none() {
         return;
@@ -199,7 +204,7 @@
     let at = field.map_or(fields.at(), |field| field.at);
     reader.fault(
         at,
-        "\"hedge\" beside \"once\" could run twice: expected one of the two",
+        "\"hedge\" together with \"once\" could run a request twice: expected only one of the two",
     );
 }
 
@@ -232,27 +237,27 @@
 }
 
 fn timeout<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Duration> {
-    span(reader, value, "a timeout")
+    duration(reader, value, "a timeout")
 }
 
-fn span<'t>(reader: &mut Reader<'t>, value: &Value<'t>, what: &str) -> Option<Duration> {
-    let Span(timeout) = reader.parsed(value)?;
-    if timeout.is_zero() || timeout > MAX_TIMEOUT {
+fn duration<'t>(reader: &mut Reader<'t>, value: &Value<'t>, what: &str) -> Option<Duration> {
+    let Span(duration) = reader.parsed(value)?;
+    if duration.is_zero() || duration > MAX_TIMEOUT {
         let cause = format!(
             "{what} of {}: expected more than 0s and at most {}",
-            Span(timeout),
+            Span(duration),
             Span(MAX_TIMEOUT)
         );
         reader.fault_at(value, cause);
         return None;
     }
-    Some(timeout)
+    Some(duration)
 }
 
 fn measuring<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Size> {
     let size: Size = reader.parsed(value)?;
-    if size > MAX_MEASURING {
-        let cause = format!("{size} a second: expected at most {MAX_MEASURING}");
+    if size > MAX_MEASURING_PER_SECOND {
+        let cause = format!("{size} per second: expected at most {MAX_MEASURING_PER_SECOND}");
         reader.fault_at(value, cause);
         return None;
     }
@@ -265,7 +270,7 @@
         (Some(name), None) => header_key(reader, name),
         (None, Some(name)) => query_key(reader, name),
         _ => {
-            let cause = "the key's place: expected either \"header\" or \"query\"";
+            let cause = "the location of the key: expected either \"header\" or \"query\"";
             reader.fault(fields.at(), cause);
             None
         }
@@ -279,8 +284,11 @@
 
 fn query_key<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Key> {
     let name = reader.text(value)?;
-    if name.is_empty() || name.len() > MAX_PARAMETER || name.chars().any(char::is_control) {
-        let cause = format!("{name:?} is no parameter: expected 1 to {MAX_PARAMETER} bytes");
+    if name.is_empty() || name.len() > MAX_PARAMETER_BYTES || name.chars().any(char::is_control) {
+        let cause = format!(
+            "{name:?} is not a query parameter name: expected 1 to {MAX_PARAMETER_BYTES} bytes \
+             without control characters"
+        );
         reader.fault_at(value, cause);
         return None;
     }
--- a/crates/rule/src/read/when.rs
+++ b/crates/rule/src/read/when.rs
@@ -1,4 +1,4 @@
-//! Reads the conditions of a rule.
+//! Parses the conditions of a rule.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 use http::{HeaderName, HeaderValue, Method};
 use jsonc::{Field, Reader, Value};
 
-use super::bad_header;
+use super::invalid_header_name;
 use crate::When;
 use crate::path::MAX_PATH_BYTES;
 use crate::when::Header;
@@ -15,17 +15,17 @@
     "service", "method", "path", "header", "caller", "zone", "host", "prefix",
 ];
 
-/// Most elements of a list of methods, services or zones.
+/// Maximum number of elements in a list of methods, services or zones.
 const MAX_LIST: usize = 64;
 
-/// Most header fields that one rule may ask for.
+/// Maximum number of header fields in the conditions of a rule.
 const MAX_HEADERS: usize = 16;
 
-/// Longest name of a host in bytes, as DNS has it.
-const MAX_HOST: usize = 253;
+/// Maximum length of a host name in bytes, as in DNS.
+const MAX_HOST_BYTES: usize = 253;
 
-/// Longest wanted value of a header field in bytes.
-const MAX_VALUE: usize = 1_024;
+/// Maximum length of an expected header value in bytes.
+const MAX_VALUE_BYTES: usize = 1_024;
 
 pub(super) fn when<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<When> {
     let fields = reader.object(value, &FIELDS)?;
@@ -51,9 +51,9 @@
 
 fn host<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<String> {
     let text = reader.text(value)?;
-    let named = !text.is_empty() && text.len() <= MAX_HOST;
-    if !named || text.bytes().any(|byte| !byte.is_ascii_graphic()) {
-        let cause = format!("{text:?} is no host: expected a name such as desk.example");
+    let valid_length = !text.is_empty() && text.len() <= MAX_HOST_BYTES;
+    if !valid_length || text.bytes().any(|byte| !byte.is_ascii_graphic()) {
+        let cause = format!("{text:?} is not a host: expected a name such as desk.example");
         reader.fault_at(value, cause);
         return None;
     }
@@ -64,7 +64,8 @@
     let text = reader.text(value)?;
     if !text.starts_with('/') || !text.ends_with('/') || text.len() > MAX_PATH_BYTES {
         let cause = format!(
-            "{text:?} is no prefix: expected at most {MAX_PATH_BYTES} bytes with a slash at both ends"
+            "{text:?} is not a path prefix: expected at most {MAX_PATH_BYTES} bytes with a \
+             slash at both ends"
         );
         reader.fault_at(value, cause);
         return None;
@@ -72,7 +73,7 @@
     Some(text.to_string())
 }
 
-/// Reads one name or a list of them; what can't be read is noted as a fault and left out.
+/// Parses a name or a list of names; invalid names are reported as faults and left out.
 fn names<'t, T>(reader: &mut Reader<'t>, value: &Value<'t>) -> Vec<T>
 where
     T: FromStr,
@@ -95,7 +96,7 @@
     let method = Method::from_bytes(text.as_bytes()).ok();
     let method = method.filter(|_| upper);
     if method.is_none() {
-        let cause = format!("{text:?} is no method: expected a name in capitals such as POST");
+        let cause = format!("{text:?} is not a method: expected a name in capitals such as POST");
         reader.fault_at(value, cause);
     }
     method
@@ -127,7 +128,7 @@
 fn header<'t>(reader: &mut Reader<'t>, field: &Field<'_, 't>) -> Option<Header> {
     let name = HeaderName::from_bytes(field.name.as_bytes()).ok();
     if name.is_none() {
-        reader.fault(field.at, bad_header(field.name));
+        reader.fault(field.at, invalid_header_name(field.name));
     }
     let value = header_value(reader, field.value);
     Some(Header {
@@ -136,17 +137,17 @@
     })
 }
 
-/// The wanted value; `Some(None)` stands for any.
+/// The expected value; `Some(None)` accepts any value.
 fn header_value<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Option<String>> {
     let text = reader.text(value)?;
     if text == "*" {
         return Some(None);
     }
-    let trimmed = text.trim() == text && text.len() <= MAX_VALUE;
+    let trimmed = text.trim() == text && text.len() <= MAX_VALUE_BYTES;
     if !trimmed || HeaderValue::from_str(text).is_err() {
         let cause = format!(
-            "{text:?} is no header value: expected \"*\" or at most {MAX_VALUE} bytes of text \
-             without spaces at its ends"
+            "{text:?} is not a header value: expected \"*\" or at most {MAX_VALUE_BYTES} bytes of \
+             text without spaces at the ends"
         );
         reader.fault_at(value, cause);
         return None;
