--- a/crates/rule/src/document.rs
+++ b/crates/rule/src/document.rs
@@ -1,4 +1,4 @@
-//! The whole of the rules.
+//! The rules document.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -12,18 +12,18 @@
 use crate::shadow::{self, Warning};
 use crate::{ConnectionLimits, Error, Request, Target, Then, When, read};
 
-/// One rule: when this, then that.
+/// A rule: conditions, and the action for requests that meet them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rule {
-    /// The name, alone of its kind in the document.
+    /// The name, unique in the document.
     pub name: String,
     /// Which requests the rule matches.
     pub when: When,
-    /// What becomes of them.
+    /// How matching requests are handled.
     pub then: Then,
 }
 
-/// The ordered rules with the text that they came from.
+/// An ordered list of rules, with the text that it was parsed from.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Document {
     text: String,
@@ -31,33 +31,33 @@
     connection_limits: ConnectionLimits,
     targets: BTreeMap<Service, Target>,
     rules: Vec<Rule>,
-    /// Where each rule begins in the text.
+    /// The byte offset of each rule in the text.
     offsets: Vec<usize>,
     index: Index,
 }
 
-/// What the reader makes of a document's text.
+/// The contents of a document, as parsed from its text.
 pub(crate) struct Content {
     pub(crate) caller_header: Option<HeaderName>,
     pub(crate) connection_limits: ConnectionLimits,
     pub(crate) targets: BTreeMap<Service, Target>,
     pub(crate) rules: Vec<Rule>,
-    /// Where each rule begins in the text.
+    /// The byte offset of each rule in the text.
     pub(crate) offsets: Vec<usize>,
 }
 
 impl Document {
-    /// Longest text of a document in bytes.
+    /// Maximum length of a document's text in bytes.
     pub const MAX_TEXT_BYTES: usize = 4_000_000;
-    /// Most rules of a document.
+    /// Maximum number of rules in a document.
     pub const MAX_RULES: usize = 20_000;
 
-    /// Reads a document.
+    /// Parses a document.
     ///
     /// # Errors
     ///
-    /// All faults of the text, with line, column, cause and what is allowed; only the first where
-    /// the text is no JSON with comments at all.
+    /// Returns all faults of the text, each with its line, column, cause and what is expected. If
+    /// the text isn't valid JSON with comments, only the first fault is returned.
     pub fn parse(text: &str) -> Result<Document, Error> {
         let content = read::content(text)?;
         Ok(Document {
@@ -65,7 +65,7 @@
             caller_header: content.caller_header,
             connection_limits: content.connection_limits,
             targets: content.targets,
-            index: Index::of(&content.rules),
+            index: Index::new(&content.rules),
             rules: content.rules,
             offsets: content.offsets,
         })
@@ -76,20 +76,20 @@
         &self.text
     }
 
-    /// What callers may send, and how long they may take; what is not said keeps its default.
+    /// The size and time limits on callers' requests; a limit that is not set keeps its default.
     pub fn connection_limits(&self) -> &ConnectionLimits {
         &self.connection_limits
     }
 
-    /// How the targets of `service` are to be asked after their health, if the document says so.
+    /// The settings for the targets of `service`, if the document has any.
     pub fn target(&self, service: &Service) -> Option<&Target> {
         self.targets.get(service)
     }
 
-    /// Whether the rules match on paths as they were sent, and not in their clean form.
+    /// Whether rules match the path as it was sent instead of the normalized path.
     ///
-    /// A prefix is compared byte for byte. Where no rule has a pattern, a path that the clean form
-    /// refuses is none of the rules' business.
+    /// This is so if at least one rule has a prefix and none has a path pattern. Prefixes are
+    /// compared byte for byte, so a path that can't be normalized need not be refused.
     pub fn matches_raw_paths(&self) -> bool {
         let has_prefix = self.rules.iter().any(|rule| rule.when.prefix.is_some());
         has_prefix && self.rules.iter().all(|rule| rule.when.path.is_none())
@@ -100,7 +100,7 @@
         &self.rules
     }
 
-    /// The services that any rule sends requests to.
+    /// The services that the rules route requests to.
     pub fn services(&self) -> BTreeSet<&Service> {
         let routes = self.rules.iter().filter_map(|rule| match &rule.then {
             Then::Route(route) => Some(route.services()),
@@ -109,9 +109,9 @@
         routes.flatten().collect()
     }
 
-    /// Rules that can never match, each with an earlier rule that matches all it could.
+    /// Finds rules that can never match because an earlier rule matches all of their requests.
     ///
-    /// A rule that only several earlier rules cover together is not found.
+    /// A rule that is covered only by several earlier rules together is not found.
     pub fn check(&self) -> Vec<Warning> {
         let lines = Lines::of(&self.text);
         let shadows = shadow::find(&self.rules, &self.index).into_iter();
@@ -123,17 +123,17 @@
         warnings.collect()
     }
 
-    /// Tells who sends a request from `peer` with `headers`.
+    /// Identifies the caller of a request with `headers` that came from the address `peer`.
     ///
-    /// It is what the caller header of the document says. Where there is none, or it is given
-    /// twice or is no name, it is the peer's address, so that a caller can't hide behind a broken
-    /// header from the limits that count per caller.
+    /// The caller is named by the caller header that the document sets. If the document sets none,
+    /// or the header is absent, repeated or not a valid name, the caller is the peer's address, so
+    /// that a caller can't evade per-caller limits with a malformed header.
     pub fn caller(&self, headers: &HeaderMap, peer: IpAddr) -> Caller {
-        self.named_caller(headers)
-            .unwrap_or_else(|| address_caller(peer))
+        self.caller_from_header(headers)
+            .unwrap_or_else(|| caller_from_address(peer))
     }
 
-    fn named_caller(&self, headers: &HeaderMap) -> Option<Caller> {
+    fn caller_from_header(&self, headers: &HeaderMap) -> Option<Caller> {
         let mut values = headers.get_all(self.caller_header.as_ref()?).iter();
         let value = values.next()?;
         if values.next().is_some() {
@@ -142,7 +142,7 @@
         value.to_str().ok()?.trim().parse().ok()
     }
 
-    /// The first rule that matches `request`.
+    /// Returns the first rule that matches `request`.
     pub fn decide(&self, request: &Request<'_>) -> Option<&Rule> {
         let mut rules = self
             .index
@@ -151,15 +151,18 @@
         rules.find(|rule| rule.when.matches(request))
     }
 
-    /// Why [`decide`](Document::decide) gives what it gives.
+    /// Explains the result of [`decide`](Document::decide) for `request`.
     pub fn explain(&self, request: &Request<'_>) -> Explanation {
         explain::explain(&self.rules, request)
     }
 }
 
-/// An IPv4 address that a dual-stack socket shows as IPv6 is the same caller as without.
-fn address_caller(peer: IpAddr) -> Caller {
+/// Names a caller by its address.
+///
+/// An IPv4-mapped IPv6 address, as dual-stack sockets report it, gives the same caller as the IPv4
+/// address.
+fn caller_from_address(peer: IpAddr) -> Caller {
     let text = peer.to_canonical().to_string();
     text.parse()
-        .expect("an IP address is made of letters of a name")
+        .expect("the text of an IP address is a valid caller name")
 }
--- a/crates/rule/src/explain.rs
+++ b/crates/rule/src/explain.rs
@@ -1,30 +1,31 @@
-//! Why a request is treated as it is.
+//! Explains which rule matches a request, and why the rules before it don't.
 
 use std::fmt;
 
 use crate::when::{self, Field};
 use crate::{Request, Rule, When};
 
-/// The rules that a request passed by, and the one that it met.
+/// The rule that matched a request, and the mismatches of the rules before it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Explanation {
-    /// The rules before the one that matched, in order; all rules if none matched.
+    /// One mismatch for each rule before the one that matched, in order; for all rules if none
+    /// matched.
     pub mismatches: Vec<Mismatch>,
     /// The name of the rule that matched.
     pub matched: Option<String>,
 }
 
-/// Why one rule did not match.
+/// Why a rule did not match.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display)]
 #[display("rule {rule:?} did not match: {field} is {actual}, expected {expected}")]
 pub struct Mismatch {
     /// The rule's name.
     pub rule: String,
-    /// The first condition that did not hold.
+    /// The first condition that was not met.
     pub field: Field,
-    /// What the request has there.
+    /// The request's value for this condition.
     pub actual: String,
-    /// What the rule asks for.
+    /// The value or values that the rule expects.
     pub expected: String,
 }
 
@@ -43,7 +44,7 @@
 pub(crate) fn explain(rules: &[Rule], request: &Request<'_>) -> Explanation {
     let mut mismatches = Vec::new();
     for rule in rules {
-        let Some(field) = rule.when.first_failure(request) else {
+        let Some(field) = rule.when.first_unmet(request) else {
             let matched = Some(rule.name.clone());
             return Explanation {
                 mismatches,
@@ -73,7 +74,7 @@
         Field::Header(name) => {
             let values = request.headers.get_all(name).iter();
             let values = values.map(|value| quoted(String::from_utf8_lossy(value.as_bytes())));
-            or_absent(values.collect())
+            join_values(values.collect())
         }
         Field::Caller => quoted(request.caller),
         Field::Zone => quoted(request.zone),
@@ -82,7 +83,7 @@
 
 fn expected(field: &Field, when: &When) -> String {
     match field {
-        Field::Service => listed(&when.services),
+        Field::Service => join_alternatives(&when.services),
         Field::Method => when
             .methods
             .iter()
@@ -98,25 +99,25 @@
             value.map_or("any value".to_string(), quoted)
         }
         Field::Caller => when.caller.as_ref().map(quoted).unwrap_or_default(),
-        Field::Zone => listed(&when.zones),
+        Field::Zone => join_alternatives(&when.zones),
     }
 }
 
-/// What stands for something that the request does not have.
+/// Printed in place of a value that the request does not have.
 const ABSENT: &str = "absent";
 
 fn quoted(text: impl fmt::Display) -> String {
     format!("{:?}", text.to_string())
 }
 
-fn listed<T: fmt::Display>(all: &[T]) -> String {
-    let all: Vec<String> = all.iter().map(quoted).collect();
-    all.join(" or ")
+fn join_alternatives<T: fmt::Display>(alternatives: &[T]) -> String {
+    let quoted: Vec<String> = alternatives.iter().map(quoted).collect();
+    quoted.join(" or ")
 }
 
-fn or_absent(all: Vec<String>) -> String {
-    match all.is_empty() {
+fn join_values(values: Vec<String>) -> String {
+    match values.is_empty() {
         true => ABSENT.to_string(),
-        false => all.join(" and "),
+        false => values.join(" and "),
     }
 }
--- a/crates/rule/src/key.rs
+++ b/crates/rule/src/key.rs
@@ -1,34 +1,34 @@
-//! The key of a request that may run at most once.
+//! The idempotency key of a request that may run at most once.
 
 use http::HeaderName;
 use quick_error::quick_error;
 
 use crate::{Request, percent};
 
-/// Where the key of a request stands.
+/// The location of a request's idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display)]
 pub enum Key {
-    /// In the header field of this name, in lower case.
+    /// In the header field with this name, in lower case.
     #[display("header {_0}")]
     Header(String),
-    /// In the query parameter of this name.
+    /// In the query parameter with this name.
     #[display("query parameter {_0}")]
     Query(String),
 }
 
 quick_error! {
-    /// Why the key of a request can't be told; the entry answers 400 and the request never runs.
+    /// Why the key of a request can't be read; the entry answers 400 and the request never runs.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum KeyError {
         /// The key is longer than [`Key::MAX`].
         TooLong(key: Key, bytes: usize) {
             display("{key}: {bytes} bytes are too many: at most {} are allowed", Key::MAX)
         }
-        /// The key stands there more than once.
+        /// The header field or query parameter is given more than once.
         Repeated(key: Key) {
             display("{key}: given more than once")
         }
-        /// The key is not readable text.
+        /// The key is not valid UTF-8, is not percent-encoded correctly or has control characters.
         NotText(key: Key) {
             display("{key}: not readable text")
         }
@@ -36,18 +36,19 @@
 }
 
 impl Key {
-    /// Longest key in bytes, decoded.
+    /// Maximum length of a decoded key in bytes.
     pub const MAX: usize = 512;
 
-    /// The key of `request`; an empty one counts as absent.
+    /// Returns the key of `request`; an empty key counts as absent.
     ///
-    /// A query parameter is percent-decoded, and `+` stands for a space, as forms are encoded: two
-    /// spellings of one key must not run twice.
+    /// A query parameter is decoded as form data (percent-decoding, and `+` as a space), so that
+    /// differently encoded copies of one key count as the same key and run only once.
     ///
     /// # Errors
     ///
-    /// A key that is too long or not readable, or given more than once: the target might
-    /// take another of them than we do, and a resend with the two in another order would run again.
+    /// Returns an error if the key is too long, not valid text or given more than once. Of several
+    /// keys the target might use another one than the entry does, and a resend with the keys in
+    /// another order would run again.
     pub fn find(&self, request: &Request<'_>) -> Result<Option<String>, KeyError> {
         let found = match self {
             Key::Header(name) => self.in_header(name, request)?,
--- a/crates/rule/src/lib.rs
+++ b/crates/rule/src/lib.rs
@@ -1,8 +1,9 @@
-//! The ordered rules: parse, check, match, explain.
+//! Routing rules: parsing, checking, matching and explanation.
 //!
-//! An operator writes rules of the form "when this, then that"; the first that matches a request
-//! decides how it is treated. This crate does no input or output: a document comes in as text, a
-//! request as borrowed parts, and the matching [`Rule`] goes out.
+//! An operator writes an ordered list of rules, each with conditions (`when`) and an action
+//! (`then`). The first rule that matches a request decides how the request is handled. This crate
+//! does no I/O: it parses a document from text, takes a request as borrowed parts and returns the
+//! matching [`Rule`].
 //!
 //! ```
 //! use http::{HeaderMap, Method};
--- a/crates/rule/src/path.rs
+++ b/crates/rule/src/path.rs
@@ -1,28 +1,29 @@
-//! The one form of a path that rules match on.
+//! Normalizes request paths for matching.
 //!
-//! A rule such as "destruction orders run once" is worth nothing if a caller can spell the path so
-//! that the rule misses it and the target still understands it. So [`normalize`] reads a path the way
-//! the most lenient target would, and refuses what lenient targets read differently:
+//! A caller must not be able to bypass a rule, such as one that makes destruction orders run once,
+//! with a path that doesn't match the rule but that the target still accepts. So [`normalize`]
+//! interprets a path as the most lenient target would, and refuses paths that lenient targets
+//! interpret differently:
 //!
-//! | in the path | what we do |
+//! | in the path | treatment |
 //! |---|---|
 //! | `%64` | decoded, once |
-//! | `//` and a `/` at the end | dropped |
-//! | `;a=b` behind a segment | dropped, as servlet containers do |
+//! | `//` and a trailing `/` | collapsed to `/`, removed |
+//! | `;a=b` after a segment | removed, as servlet containers do |
 //! | `.` and `..`, in any encoding | refused |
 //! | `%2F`, `\`, `%5C`, control characters | refused |
 //! | `%2564`, encoded twice | refused |
-//! | bytes that are no UTF-8, a broken `%` | refused |
+//! | invalid UTF-8, an invalid percent-encoding | refused |
 //!
-//! We weighed resolving dot segments as browsers do. Targets differ in when they resolve them,
-//! before or after decoding, so any choice of ours would differ from some target's. Letter case
-//! stays: a target that takes `/Vault` for `/vault` needs a rule for each spelling that it takes.
+//! Dot segments are not resolved as browsers do: targets differ in whether they resolve them before
+//! or after decoding, so either order would disagree with some target. Letter case is kept: a
+//! target that treats `/Vault` as `/vault` needs a rule for each spelling that it accepts.
 
 use quick_error::quick_error;
 
 use crate::percent;
 
-/// Longest path in bytes.
+/// Maximum length of a path in bytes.
 pub const MAX_PATH_BYTES: usize = 8_192;
 
 quick_error! {
@@ -37,11 +38,11 @@
         TooLong(bytes: usize) {
             display("the path has {bytes} bytes: at most {MAX_PATH_BYTES} are allowed")
         }
-        /// A segment's percent-encoding is broken or not UTF-8.
+        /// A segment's percent-encoding is invalid or doesn't decode to UTF-8.
         InvalidEncoding(segment: String) {
             display("the path segment {segment:?} is not percent-encoded UTF-8")
         }
-        /// A segment is still percent-encoded after it was decoded.
+        /// A segment is still percent-encoded after decoding.
         DoubleEncoded(segment: String) {
             display("the path segment {segment:?} is percent-encoded twice")
         }
@@ -49,17 +50,17 @@
         DotSegment(segment: String) {
             display("the path segment {segment:?} is a dot segment")
         }
-        /// A segment holds a slash, a backslash or a control character.
+        /// A decoded segment contains a slash, a backslash or a control character.
         ForbiddenCharacter(segment: String) {
             display("the path segment {segment:?} holds a slash, backslash or control character")
         }
     }
 }
 
-/// Gives the form of `raw` that rules match on: decoded, with single slashes, none at the end.
+/// Returns the normalized form of `raw`: decoded, with single slashes and no trailing slash.
 ///
-/// The entry calls this once for each request; a second call would decode a second time. The
-/// result is for matching only: the target gets the path as the caller sent it.
+/// Call this only once per request, as another call would decode the path again. The result is for
+/// matching only: the target gets the path as the caller sent it.
 ///
 /// ```
 /// use rule::path::normalize;
@@ -70,24 +71,25 @@
 ///
 /// # Errors
 ///
-/// A [`PathError`] that names the segment that targets would read in different ways.
+/// Returns a [`PathError`] if the path is too long, doesn't begin with `/` or has a segment that
+/// targets would interpret differently.
 pub fn normalize(raw: &str) -> Result<String, PathError> {
     if raw.len() > MAX_PATH_BYTES {
         return Err(PathError::TooLong(raw.len()));
     }
     let inner = raw.strip_prefix('/').ok_or(PathError::Relative)?;
-    let mut cleaned = String::with_capacity(raw.len());
+    let mut normalized = String::with_capacity(raw.len());
     for segment in inner.split('/') {
         let segment = normalize_segment(segment)?;
         if !segment.is_empty() {
-            cleaned.push('/');
-            cleaned.push_str(&segment);
+            normalized.push('/');
+            normalized.push_str(&segment);
         }
     }
-    if cleaned.is_empty() {
-        cleaned.push('/');
+    if normalized.is_empty() {
+        normalized.push('/');
     }
-    Ok(cleaned)
+    Ok(normalized)
 }
 
 fn normalize_segment(raw: &str) -> Result<String, PathError> {
@@ -96,11 +98,11 @@
     if percent::is_encoded(&decoded) {
         return Err(PathError::DoubleEncoded(raw.to_string()));
     }
-    if decoded.chars().any(is_refused) {
+    if decoded.chars().any(is_forbidden) {
         return Err(PathError::ForbiddenCharacter(raw.to_string()));
     }
-    // Servlet containers cut `;...` off before they resolve dots, so that `/a/..;/b` is `/b` to
-    // them. We cut it off before the check for dots, which then sees what they would see.
+    // Servlet containers remove `;...` before they resolve dot segments, so they read `/a/..;/b` as
+    // `/b`. Removing it before the check for dot segments makes the check find these too.
     let name = decoded.split(';').next().unwrap_or(&decoded);
     if matches!(name, "." | "..") {
         return Err(PathError::DotSegment(raw.to_string()));
@@ -108,6 +110,6 @@
     Ok(name.to_string())
 }
 
-fn is_refused(c: char) -> bool {
+fn is_forbidden(c: char) -> bool {
     matches!(c, '/' | '\\') || c.is_control()
 }
--- a/crates/rule/src/pattern.rs
+++ b/crates/rule/src/pattern.rs
@@ -1,4 +1,4 @@
-//! Patterns over paths and callers, parsed once.
+//! Patterns for paths and callers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,62 +7,62 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a text is no pattern.
+    /// Why a text is not a pattern.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum PatternError {
-        /// The text is no path pattern.
+        /// The text is not a path pattern.
         Path(text: String, expected: &'static str) {
             display("{text:?} is not a path pattern: expected {expected}")
         }
-        /// The text is no caller pattern.
+        /// The text is not a caller pattern.
         Caller(text: String) {
             display(
-                "{text:?} is not a caller pattern: expected a caller's name, with one '*' \
-                 at its beginning or its end at most"
+                "{text:?} is not a caller pattern: expected a caller's name with at \
+                 most one '*', at the beginning or the end"
             )
         }
     }
 }
 
-/// One segment of a [`Path`].
+/// A segment of a [`Path`] pattern.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Segment {
-    /// Exactly this text, decoded.
+    /// A segment with exactly this decoded text.
     #[display("{_0}")]
     Text(String),
-    /// Any one segment.
+    /// Any single segment.
     #[display("*")]
     Any,
 }
 
-/// A pattern over paths, such as `/vault/destroy/*` or `/vault/**`.
+/// A pattern for paths, such as `/vault/destroy/*` or `/vault/**`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Path {
-    /// The segments, from the first.
+    /// The segments in order.
     pub segments: Vec<Segment>,
-    /// Whether any number of further segments may follow, none included.
+    /// Whether any number of further segments may follow, including none.
     pub rest: bool,
 }
 
-/// A pattern over callers, such as `*@clinic-7`.
+/// A pattern for callers, such as `*@clinic-7`.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Caller {
     /// Any caller.
     #[display("*")]
     Any,
-    /// This caller.
+    /// The caller with this name.
     #[display("{_0}")]
     Exact(String),
-    /// A caller whose name begins so.
+    /// Callers whose names begin with this text.
     #[display("{_0}*")]
     Prefix(String),
-    /// A caller whose name ends so.
+    /// Callers whose names end with this text.
     #[display("*{_0}")]
     Suffix(String),
 }
 
 impl Path {
-    /// Whether the pattern matches a path that [`normalize`](crate::path::normalize) gave.
+    /// Whether the pattern matches `path`, as returned by [`normalize`](crate::path::normalize).
     pub fn matches(&self, path: &str) -> bool {
         let mut tail = path;
         for segment in &self.segments {
@@ -82,11 +82,11 @@
         }
         let mut pairs = self.segments.iter().zip(&other.segments);
         let same_length = other.segments.len() == shared && !other.rest;
-        pairs.all(|(mine, theirs)| mine.covers(theirs)) && (self.rest || same_length)
+        pairs.all(|(own, theirs)| own.covers(theirs)) && (self.rest || same_length)
     }
 
-    /// The text that each matching path has as its first segment, if there is one.
-    pub(crate) fn first(&self) -> Option<&str> {
+    /// The first segment of every matching path, if the pattern fixes it.
+    pub(crate) fn first_segment(&self) -> Option<&str> {
         match self.segments.first() {
             Some(Segment::Text(text)) => Some(text),
             _ => None,
@@ -95,14 +95,16 @@
 }
 
 impl Segment {
-    /// What follows this segment at the beginning of `path`, which has no slash before it.
+    /// Returns the rest of `path` after this segment, if `path` begins with it.
+    ///
+    /// `path` has no leading slash.
     fn strip<'p>(&self, path: &'p str) -> Option<&'p str> {
         let tail = match self {
             Segment::Text(wanted) => path.strip_prefix(wanted.as_str())?,
             Segment::Any => path.trim_start_matches(|c| c != '/'),
         };
-        let whole = tail.is_empty() || tail.starts_with('/');
-        (whole && !path.is_empty()).then_some(tail)
+        let complete = tail.is_empty() || tail.starts_with('/');
+        (complete && !path.is_empty()).then_some(tail)
     }
 
     fn covers(&self, other: &Segment) -> bool {
@@ -151,7 +153,7 @@
     }
 }
 
-/// Takes only what a cleaned path can hold, so that no pattern is silently without effect.
+/// Refuses segments that a normalized path can't contain, as such a pattern would never match.
 fn parse_segment(text: &str) -> Result<Segment, &'static str> {
     match text {
         "*" => Ok(Segment::Any),
@@ -186,8 +188,8 @@
         match (self, other) {
             (Caller::Any, _) => true,
             (_, Caller::Exact(text)) => self.matches_text(text),
-            (Caller::Prefix(mine), Caller::Prefix(theirs)) => theirs.starts_with(mine.as_str()),
-            (Caller::Suffix(mine), Caller::Suffix(theirs)) => theirs.ends_with(mine.as_str()),
+            (Caller::Prefix(own), Caller::Prefix(theirs)) => theirs.starts_with(own.as_str()),
+            (Caller::Suffix(own), Caller::Suffix(theirs)) => theirs.ends_with(own.as_str()),
             _ => false,
         }
     }
--- a/crates/rule/src/percent.rs
+++ b/crates/rule/src/percent.rs
@@ -1,6 +1,8 @@
-//! Percent-decoding, strict.
+//! Strict percent-decoding.
 
-/// Decodes `%XX` in `text`; `None` where a `%` has no two hex digits or the result is not UTF-8.
+/// Decodes `%XX` in `text`.
+///
+/// Returns `None` if a `%` is not followed by two hex digits or the result is not UTF-8.
 pub(crate) fn decode(text: &str) -> Option<String> {
     if !text.contains('%') {
         return Some(text.to_string());
@@ -13,19 +15,19 @@
             rest = tail;
             continue;
         }
-        decoded.push(pair(tail)?);
+        decoded.push(hex_byte(tail)?);
         rest = &tail[2..];
     }
     String::from_utf8(decoded).ok()
 }
 
-/// Whether a `%XX` stands anywhere in `text`.
+/// Whether `text` contains a `%XX`.
 pub(crate) fn is_encoded(text: &str) -> bool {
     let mut windows = text.as_bytes().windows(3);
-    windows.any(|window| window[0] == b'%' && pair(&window[1..]).is_some())
+    windows.any(|window| window[0] == b'%' && hex_byte(&window[1..]).is_some())
 }
 
-fn pair(bytes: &[u8]) -> Option<u8> {
+fn hex_byte(bytes: &[u8]) -> Option<u8> {
     let high = char::from(*bytes.first()?).to_digit(16)?;
     let low = char::from(*bytes.get(1)?).to_digit(16)?;
     u8::try_from(high * 16 + low).ok()
--- a/crates/rule/src/target.rs
+++ b/crates/rule/src/target.rs
@@ -1,10 +1,10 @@
-//! How the targets of a service are asked after their health.
+//! Settings that the targets of a service share.
 
-/// What all targets of one service have in common.
+/// The settings of all targets of a service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Target {
-    /// The path that answers whether the target is well.
+    /// The path of the target's health check.
     pub health: Option<String>,
-    /// Most connections that a target takes from all its callers.
+    /// Maximum number of connections to a target from all its callers.
     pub connections: Option<u32>,
 }
--- a/crates/rule/src/then.rs
+++ b/crates/rule/src/then.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request that a rule matches.
+//! How requests that match a rule are handled.
 
 use std::time::Duration;
 
@@ -6,63 +6,64 @@
 
 use crate::Key;
 
-/// The answer of a rule.
+/// The action of a rule.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::From)]
 pub enum Then {
-    /// The request goes to a service.
+    /// The request is routed to a service.
     Route(Route),
     /// The request is refused at the entry and never runs.
     Refuse(Refusal),
 }
 
-/// Where a request goes and how it is treated on the way.
+/// Where a request is sent, with its priority, limits and retry policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The service whose targets answer.
+    /// The service whose targets serve the request.
     pub service: Service,
-    /// Services that share the requests by weight; empty where [`Route::service`] gets them all.
+    /// Services that share the requests by weight; if empty, [`Route::service`] gets them all.
     pub split: Vec<WeightedService>,
-    /// How soon the request must be served; `routine` where the rule says nothing.
+    /// How urgent the request is; `routine` by default.
     pub urgency: Urgency,
-    /// The rank by which the reader of the document has worked out the urgency; 0 is the highest.
+    /// The priority from which the urgency was derived, if the rule sets one; 0 is the highest.
     pub priority: Option<u32>,
-    /// The time after which an answer is worth little to its caller; none by default.
+    /// The time after which a response is worth little to the caller; none by default.
     pub objective: Option<Duration>,
     /// Whether the request may run more than once; `true` by default.
     ///
-    /// A request without a key that may not be repeated is sent again only where it certainly has
-    /// not run. Nothing is claimed for it: a caller that sends it anew has it run anew.
+    /// If `false`, the request is retried only if it certainly has not run. Unlike with
+    /// [`Route::once`], nothing is claimed: a request that the caller sends again runs again.
     pub repeat: bool,
-    /// Most targets that one request may be sent to; a gate that refuses is not counted. No bound
-    /// but [`Route::retries`] by default.
+    /// Maximum number of targets that a request may be sent to; refusals by a gate don't count. By
+    /// default, only [`Route::retries`] limits the attempts.
     pub attempts: Option<u32>,
-    /// Where the key of a request that may run at most once stands; `None` where it may repeat.
+    /// The location of the idempotency key if the request may run at most once; `None` if not.
     pub once: Option<Key>,
-    /// How long the caller waits, queueing and retries included; 10 s by default.
+    /// How long the caller waits for a response, including queueing and retries; 10 s by default.
     pub timeout: Duration,
-    /// Further tries after the first; 1 by default.
+    /// Maximum number of attempts after the first; 1 by default.
     ///
-    /// With [`Route::once`], these are spent only on tries that a gate refused before dispatch, so
-    /// that none of them can follow a run.
+    /// With [`Route::once`], an attempt is retried only if a gate refused it before dispatch, so
+    /// that no retry can follow a run.
     pub retries: u32,
-    /// Whether a slow try may be doubled at another target; never together with [`Route::once`].
+    /// Whether a slow attempt may be hedged at another target; never set together with
+    /// [`Route::once`].
     pub hedge: bool,
-    /// Most requests of one caller that one entry has under way at once; no bound by default.
+    /// Maximum number of concurrent requests of one caller at one entry; no limit by default.
     pub per_caller: Option<u32>,
-    /// The caller's share against others of the same urgency at a full gate; 1 by default.
+    /// The caller's weight relative to others of the same urgency at a full gate; 1 by default.
     pub weight: u32,
-    /// Which zones' targets are chosen; `near` by default.
+    /// Which zones' targets may be chosen; `near` by default.
     pub zone: Preference,
-    /// Bytes per second and target that may be spent on reports and probes; 1 KB by default.
+    /// Bytes per second and target that reports and probes may use; 1 KB by default.
     pub measuring: Size,
 }
 
-/// One service's part of a route.
+/// A service of a route's split, with its weight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedService {
     /// The service.
     pub service: Service,
-    /// Its share of the requests, against the weights of the others.
+    /// The service's share of the requests, relative to the weights of the others.
     pub weight: u32,
 }
 
@@ -71,48 +72,48 @@
 pub struct Refusal {
     /// The HTTP status, 400 to 599.
     pub status: u16,
-    /// Why, in words for the caller.
+    /// The reason, as text for the caller.
     pub reason: String,
 }
 
 /// Which zones' targets a request may go to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, derive_more::Display)]
 pub enum Preference {
-    /// The entry's zone as long as that serves sooner.
+    /// The entry's zone, as long as its targets serve sooner than others.
     #[default]
     #[display("near")]
     Near,
-    /// All zones alike.
+    /// All zones equally.
     #[display("any")]
     Any,
-    /// The entry's zone and no other.
+    /// Only the entry's zone.
     #[display("only")]
     Only,
 }
 
 impl Route {
-    /// The timeout of a rule that names none.
+    /// The default timeout.
     pub const TIMEOUT: Duration = Duration::from_secs(10);
-    /// The retries of a rule that names none.
+    /// The default number of retries.
     pub const RETRIES: u32 = 1;
-    /// The weight of a rule that names none.
+    /// The default weight.
     pub const WEIGHT: u32 = 1;
-    /// The measuring budget of a rule that names none.
+    /// The default budget for reports and probes, per second and target.
     pub const MEASURING: Size = Size::of(1_000);
 
-    /// The services that requests of this route go to.
+    /// The services that this route sends requests to.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
-        let parts = self.split.iter().map(|part| &part.service);
-        let whole = self.split.is_empty().then_some(&self.service);
-        parts.chain(whole)
+        let weighted = self.split.iter().map(|weighted| &weighted.service);
+        let single = self.split.is_empty().then_some(&self.service);
+        weighted.chain(single)
     }
 
-    /// Whether the request may run more than once, so that one that may have run can be sent again.
+    /// Whether the request may run more than once, and so be sent again after it may have run.
     pub fn repeatable(&self) -> bool {
         self.repeat && self.once.is_none()
     }
 
-    /// A route to `service` with every default.
+    /// A route to `service` with the default settings.
     pub fn to(service: Service) -> Route {
         Route {
             service,
--- a/crates/rule/src/when.rs
+++ b/crates/rule/src/when.rs
@@ -1,4 +1,4 @@
-//! Which requests a rule matches.
+//! The conditions of rules.
 
 use derive_more::Display;
 use http::{HeaderName, Method, header};
@@ -6,35 +6,36 @@
 
 use crate::{Request, pattern};
 
-/// The conditions of a rule; all must hold, and one that is empty always holds.
+/// The conditions of a rule.
 ///
-/// They are tried in the order of the fields.
+/// A request must meet all conditions; an empty condition is always met. They are tested in the
+/// order of the fields.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct When {
-    /// One of these services' own targets sent the request; outside callers have none.
+    /// A target of one of these services sent the request; outside callers have no service.
     pub services: Vec<Service>,
-    /// The method is one of these, in any letter case.
+    /// The method is one of these, ignoring case.
     pub methods: Vec<Method>,
-    /// The host that the request names, in any letter case and with or without a port.
+    /// The host that the request names, ignoring case and port.
     pub host: Option<String>,
-    /// What the path begins with, byte for byte; it ends with a slash.
+    /// The prefix of the path, compared byte for byte; it ends with a slash.
     pub prefix: Option<String>,
-    /// The path.
+    /// The pattern that the path matches.
     pub path: Option<pattern::Path>,
-    /// Header fields that must all be there.
+    /// Header fields that must all be present.
     pub headers: Vec<Header>,
-    /// The caller.
+    /// The pattern that the caller matches.
     pub caller: Option<pattern::Caller>,
-    /// The entry stands in one of these zones.
+    /// The entry is in one of these zones.
     pub zones: Vec<Zone>,
 }
 
-/// A header field that must be there.
+/// A header field that must be present.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
-    /// The field's name.
+    /// The name of the header field.
     pub name: HeaderName,
-    /// The exact value that one of the fields of this name must have; `None` takes any.
+    /// The exact value that one of the fields with this name must have; `None` accepts any value.
     pub value: Option<String>,
 }
 
@@ -68,22 +69,22 @@
 }
 
 impl When {
-    /// Whether all conditions hold for `request`.
+    /// Whether `request` meets all conditions.
     pub fn matches(&self, request: &Request<'_>) -> bool {
-        self.first_failure(request).is_none()
+        self.first_unmet(request).is_none()
     }
 
-    /// The first condition that does not hold.
+    /// The first condition that `request` does not meet.
     ///
-    /// Both the match and its explanation come from here, so that they can't disagree.
-    pub(crate) fn first_failure(&self, request: &Request<'_>) -> Option<Field> {
-        if !self.takes_service(request.service) {
+    /// Matching and explanations both use this method, so that they can't disagree.
+    pub(crate) fn first_unmet(&self, request: &Request<'_>) -> Option<Field> {
+        if !self.matches_service(request.service) {
             return Some(Field::Service);
         }
-        if !self.takes_method(request.method) {
+        if !self.matches_method(request.method) {
             return Some(Field::Method);
         }
-        if !self.takes_host(request) {
+        if !self.matches_host(request) {
             return Some(Field::Host);
         }
         if !self
@@ -100,7 +101,7 @@
         {
             return Some(Field::Path);
         }
-        if let Some(header) = self.headers.iter().find(|header| !header.holds(request)) {
+        if let Some(header) = self.headers.iter().find(|header| !header.matches(request)) {
             return Some(Field::Header(header.name.clone()));
         }
         let caller = self.caller.as_ref();
@@ -113,48 +114,51 @@
         None
     }
 
-    fn takes_service(&self, service: Option<&Service>) -> bool {
-        let named = service.is_some_and(|service| self.services.contains(service));
-        self.services.is_empty() || named
+    fn matches_service(&self, service: Option<&Service>) -> bool {
+        let listed = service.is_some_and(|service| self.services.contains(service));
+        self.services.is_empty() || listed
     }
 
-    /// A method is compared in any letter case.
+    /// Compares methods ignoring case.
     ///
-    /// Some targets run `post` as `POST`; compared exactly, such a request would pass by the rule
-    /// that makes it run once.
-    fn takes_method(&self, method: &Method) -> bool {
-        let same = |wanted: &Method| wanted.as_str().eq_ignore_ascii_case(method.as_str());
+    /// Some targets handle `post` as `POST`. With an exact comparison, such a request would bypass
+    /// a rule that makes it run at most once.
+    fn matches_method(&self, method: &Method) -> bool {
+        let same = |expected: &Method| expected.as_str().eq_ignore_ascii_case(method.as_str());
         self.methods.is_empty() || self.methods.iter().any(same)
     }
 
-    fn takes_host(&self, request: &Request<'_>) -> bool {
-        let Some(wanted) = &self.host else {
+    fn matches_host(&self, request: &Request<'_>) -> bool {
+        let Some(expected) = &self.host else {
             return true;
         };
-        host(request).is_some_and(|host| host.eq_ignore_ascii_case(wanted))
+        host(request).is_some_and(|host| host.eq_ignore_ascii_case(expected))
     }
 
-    /// The first segment that the path of a matching request has, if there can be only one.
+    /// The first path segment of every matching request, if the conditions fix it.
     pub(crate) fn first_segment(&self) -> Option<&str> {
         if let Some(prefix) = &self.prefix {
             let mut segments = prefix.split('/').filter(|segment| !segment.is_empty());
             return segments.next();
         }
-        self.path.as_ref().and_then(pattern::Path::first)
+        self.path.as_ref().and_then(pattern::Path::first_segment)
     }
 
-    /// Whether every request that `other` matches is matched by this too.
+    /// Whether `self` matches every request that `other` matches.
     ///
-    /// It may say no where the answer is yes, and never the other way about.
+    /// The result may be a false negative, but never a false positive.
     pub(crate) fn covers(&self, other: &When) -> bool {
-        subset(&other.services, &self.services)
-            && subset(&other.methods, &self.methods)
+        is_subset(&other.services, &self.services)
+            && is_subset(&other.methods, &self.methods)
             && self.covers_host(other)
             && self.covers_prefix(other)
             && self.covers_path(other)
-            && self.headers.iter().all(|header| header.follows_from(other))
+            && self
+                .headers
+                .iter()
+                .all(|header| header.is_implied_by(other))
             && self.covers_caller(other)
-            && subset(&other.zones, &self.zones)
+            && is_subset(&other.zones, &self.zones)
     }
 
     fn covers_host(&self, other: &When) -> bool {
@@ -164,51 +168,54 @@
     fn covers_prefix(&self, other: &When) -> bool {
         match (&self.prefix, &other.prefix) {
             (None, _) => true,
-            (Some(mine), Some(theirs)) => theirs.starts_with(mine.as_str()),
-            (Some(mine), None) => mine == "/",
+            (Some(own), Some(theirs)) => theirs.starts_with(own.as_str()),
+            (Some(own), None) => own == "/",
         }
     }
 
     fn covers_path(&self, other: &When) -> bool {
         match (&self.path, &other.path) {
             (None, _) => true,
-            (Some(mine), Some(theirs)) => mine.covers(theirs),
-            (Some(mine), None) => mine.rest && mine.segments.is_empty(),
+            (Some(own), Some(theirs)) => own.covers(theirs),
+            (Some(own), None) => own.rest && own.segments.is_empty(),
         }
     }
 
     fn covers_caller(&self, other: &When) -> bool {
         match (&self.caller, &other.caller) {
             (None | Some(pattern::Caller::Any), _) => true,
-            (Some(mine), Some(theirs)) => mine.covers(theirs),
+            (Some(own), Some(theirs)) => own.covers(theirs),
             (Some(_), None) => false,
         }
     }
 }
 
-/// The host that a request names, without its port.
+/// The host that a request names, without the port.
 pub(crate) fn host<'a>(request: &Request<'a>) -> Option<&'a str> {
     let host = request.headers.get(header::HOST)?.to_str().ok()?;
     let port = host.rsplit_once(':');
-    let named = port.filter(|(_, port)| port.bytes().all(|byte| byte.is_ascii_digit()));
-    Some(named.map_or(host, |(name, _)| name))
+    let with_port = port.filter(|(_, port)| port.bytes().all(|byte| byte.is_ascii_digit()));
+    Some(with_port.map_or(host, |(name, _)| name))
 }
 
-/// A path in its clean form has no slash at its end, which the prefix may ask for.
+/// Whether `path` begins with `prefix`.
+///
+/// A normalized path has no trailing slash, so a path that equals the prefix without its trailing
+/// slash counts too.
 fn begins_with(path: &str, prefix: &str) -> bool {
     path.starts_with(prefix) || prefix.strip_suffix('/') == Some(path)
 }
 
 impl Header {
-    fn holds(&self, request: &Request<'_>) -> bool {
+    fn matches(&self, request: &Request<'_>) -> bool {
         let mut values = request.headers.get_all(&self.name).iter();
         match &self.value {
             None => values.next().is_some(),
-            Some(wanted) => values.any(|value| value.as_bytes() == wanted.as_bytes()),
+            Some(expected) => values.any(|value| value.as_bytes() == expected.as_bytes()),
         }
     }
 
-    fn follows_from(&self, other: &When) -> bool {
+    fn is_implied_by(&self, other: &When) -> bool {
         let mut same = other
             .headers
             .iter()
@@ -217,8 +224,8 @@
     }
 }
 
-/// Whether each of `narrow` is in `wide`, where an empty list stands for everything.
-fn subset<T: PartialEq>(narrow: &[T], wide: &[T]) -> bool {
-    let within = || !narrow.is_empty() && narrow.iter().all(|one| wide.contains(one));
-    wide.is_empty() || within()
+/// Whether `list` is a subset of `other`, where an empty list stands for all values.
+fn is_subset<T: PartialEq>(list: &[T], other: &[T]) -> bool {
+    let within = || !list.is_empty() && list.iter().all(|item| other.contains(item));
+    other.is_empty() || within()
 }
