--- a/crates/rule/examples/decide.rs
+++ b/crates/rule/examples/decide.rs
@@ -1,6 +1,6 @@
-//! Measures one decision with the index and without it.
+//! Measures the time to find the rule for a request, with the index and with a linear scan.
 //!
-//! Run `cargo run --release -p rule --example decide`; it prints nanoseconds for each decision.
+//! `cargo run --release -p rule --example decide` prints the mean time in nanoseconds.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -8,11 +8,11 @@
 use http::{HeaderMap, Method};
 use rule::{Document, Request};
 
-const ROUNDS: u32 = 20_000;
+const ITERATIONS: u32 = 20_000;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("rules  first segments  index ns  scan ns");
-    for (rules, firsts) in [
+    for (rules, first_segments) in [
         (10, 10),
         (50, 10),
         (500, 1),
@@ -20,18 +20,23 @@
         (500, 50),
         (5_000, 50),
     ] {
-        let document = Document::parse(&text(rules, firsts))?;
-        measure(&document, rules, firsts)?;
+        let document = Document::parse(&document_text(rules, first_segments))?;
+        measure(&document, rules, first_segments)?;
     }
     Ok(())
 }
 
-/// Rules that share `firsts` first segments, a tenth of them without any path.
-fn text(rules: usize, firsts: usize) -> String {
+/// A document with `rules` rules over `first_segments` first segments.
+///
+/// A tenth of the rules have no path.
+fn document_text(rules: usize, first_segments: usize) -> String {
     let rules = (0..rules).map(|i| {
         let when = match i % 10 {
             9 => format!(r#""caller": "*@member-{i}""#),
-            _ => format!(r#""method": "GET", "path": "/area-{}/{i}/**""#, i % firsts),
+            _ => format!(
+                r#""method": "GET", "path": "/area-{}/{i}/**""#,
+                i % first_segments
+            ),
         };
         format!(r#"{{ "name": "{i}", "when": {{ {when} }}, "then": {{ "service": "desk" }} }}"#)
     });
@@ -39,11 +44,11 @@
     format!(r#"{{ "rules": [{}] }}"#, rules.join(",\n"))
 }
 
-/// Decides a request that matches no rule, which is the longest way.
+/// Measures with a request that matches no rule, which is the worst case.
 fn measure(
     document: &Document,
     rules: usize,
-    firsts: usize,
+    first_segments: usize,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let (caller, zone) = ("desk-3@clinic-7".parse()?, "longbien".parse()?);
     let request = Request {
@@ -55,21 +60,21 @@
         caller: &caller,
         zone: &zone,
     };
-    let index = nanoseconds(|| document.decide(&request).is_some());
-    let scan = nanoseconds(|| {
+    let index = mean_nanoseconds(|| document.decide(&request).is_some());
+    let scan = mean_nanoseconds(|| {
         document
             .rules()
             .iter()
             .any(|rule| rule.when.matches(&request))
     });
-    println!("{rules:5}  {firsts:14}  {index:8}  {scan:7}");
+    println!("{rules:5}  {first_segments:14}  {index:8}  {scan:7}");
     Ok(())
 }
 
-fn nanoseconds(decide: impl Fn() -> bool) -> u128 {
-    let begin = Instant::now();
-    for _ in 0..ROUNDS {
+fn mean_nanoseconds(decide: impl Fn() -> bool) -> u128 {
+    let start = Instant::now();
+    for _ in 0..ITERATIONS {
         black_box(decide());
     }
-    begin.elapsed().as_nanos() / u128::from(ROUNDS)
+    start.elapsed().as_nanos() / u128::from(ITERATIONS)
 }
--- a/crates/rule/tests/decide.rs
+++ b/crates/rule/tests/decide.rs
@@ -1,4 +1,4 @@
-//! First match, explanation, shadowing, callers and keys.
+//! Tests matching, explanations, shadowing, callers and keys.
 
 use std::net::IpAddr;
 
@@ -9,8 +9,8 @@
 const SONG_HONG: &str = include_str!("good/song-hong.jsonc");
 const QUEBEC: &str = include_str!("good/quebec.jsonc");
 
-/// A request that owns its parts.
-struct Sample {
+/// An owned version of [`Request`].
+struct OwnedRequest {
     service: Option<Service>,
     method: Method,
     path: String,
@@ -20,9 +20,9 @@
     zone: Zone,
 }
 
-impl Sample {
-    fn of(method: Method, path: &str) -> Sample {
-        Sample {
+impl OwnedRequest {
+    fn of(method: Method, path: &str) -> OwnedRequest {
+        OwnedRequest {
             service: None,
             method,
             path: path.to_string(),
@@ -33,23 +33,23 @@
         }
     }
 
-    fn header(mut self, name: &'static str, value: &'static str) -> Sample {
+    fn header(mut self, name: &'static str, value: &'static str) -> OwnedRequest {
         let name = HeaderName::from_static(name);
         self.headers.append(name, HeaderValue::from_static(value));
         self
     }
 
-    fn query(mut self, query: &str) -> Sample {
+    fn query(mut self, query: &str) -> OwnedRequest {
         self.query = Some(query.to_string());
         self
     }
 
-    fn caller(mut self, caller: &str) -> Sample {
+    fn caller(mut self, caller: &str) -> OwnedRequest {
         self.caller = caller.parse().expect("a caller");
         self
     }
 
-    fn service(mut self, service: &str) -> Sample {
+    fn service(mut self, service: &str) -> OwnedRequest {
         self.service = Some(service.parse().expect("a service"));
         self
     }
@@ -72,10 +72,10 @@
 }
 
 fn parse(text: &str) -> Document {
-    Document::parse(text).expect("a good document")
+    Document::parse(text).expect("a valid document")
 }
 
-fn name<'d>(document: &'d Document, sample: &Sample) -> &'d str {
+fn name<'d>(document: &'d Document, sample: &OwnedRequest) -> &'d str {
     let rule = sample.rule(document);
     rule.map_or("none", |rule| &rule.name)
 }
@@ -83,7 +83,7 @@
 #[test]
 fn first_match_wins() {
     let document = parse(SONG_HONG);
-    let lookup = || Sample::of(Method::GET, "/files/land/41");
+    let lookup = || OwnedRequest::of(Method::GET, "/files/land/41");
     assert_eq!(name(&document, &lookup()), "file look-up");
     assert_eq!(
         name(&document, &lookup().caller("eve@audit")),
@@ -95,9 +95,9 @@
         name(&document, &lookup().header("x-court", "no")),
         "file look-up"
     );
-    let batch = Sample::of(Method::GET, "/index/search").header("x-batch", "march");
+    let batch = OwnedRequest::of(Method::GET, "/index/search").header("x-batch", "march");
     assert_eq!(name(&document, &batch), "member batch");
-    let check = Sample::of(Method::GET, "/vault/boxes/9");
+    let check = OwnedRequest::of(Method::GET, "/vault/boxes/9");
     assert_eq!(name(&document, &check), "rest");
     assert_eq!(
         name(&document, &check.service("file-registry")),
@@ -106,9 +106,9 @@
 }
 
 #[test]
-fn every_field_and_default_is_read() {
+fn parses_fields_and_defaults() {
     let document = parse(QUEBEC);
-    let list = Sample::of(Method::GET, "/yard/sorel/haul-outs");
+    let list = OwnedRequest::of(Method::GET, "/yard/sorel/haul-outs");
     let Some(Then::Route(route)) = list.rule(&document).map(|rule| &rule.then) else {
         panic!("no route");
     };
@@ -117,10 +117,13 @@
     assert!(route.hedge);
     assert_eq!((route.retries, route.weight), (2, 1));
     assert_eq!(route.measuring.bytes(), 1_000);
-    let bill = Sample::of(Method::POST, "/billing/haul-outs/4");
+    let bill = OwnedRequest::of(Method::POST, "/billing/haul-outs/4");
     assert_eq!(name(&document, &bill), "billing from outside");
     assert_eq!(name(&document, &bill.service("reservations")), "billing");
-    assert_eq!(name(&document, &Sample::of(Method::POST, "/slots")), "none");
+    assert_eq!(
+        name(&document, &OwnedRequest::of(Method::POST, "/slots")),
+        "none"
+    );
     let services: Vec<&str> = document
         .services()
         .into_iter()
@@ -130,9 +133,9 @@
 }
 
 #[test]
-fn explains_each_miss_and_the_match() {
+fn explains_each_mismatch_and_the_match() {
     let document = parse(SONG_HONG);
-    let sample = Sample::of(Method::GET, "/files/land/41").header("x-court", "no");
+    let sample = OwnedRequest::of(Method::GET, "/files/land/41").header("x-court", "no");
     let explanation = document.explain(&sample.request());
     assert_eq!(explanation.matched.as_deref(), Some("file look-up"));
     let lines: Vec<String> = explanation.to_string().lines().map(String::from).collect();
@@ -147,11 +150,11 @@
         r#"rule "file look-up" matched"#,
     ];
     assert_eq!(lines, expected);
-    let none = parse(QUEBEC).explain(&Sample::of(Method::POST, "/slots").request());
+    let none = parse(QUEBEC).explain(&OwnedRequest::of(Method::POST, "/slots").request());
     assert!(none.to_string().ends_with("no rule matched"));
 }
 
-/// Two rules, and whether the first takes all requests of the second.
+/// Whether a rule with the conditions `first` shadows a later rule with the conditions `second`.
 fn shadows(first: &str, second: &str) -> bool {
     let then = r#""then": { "service": "vault-desk" }"#;
     let text = format!(
@@ -170,7 +173,7 @@
 }
 
 #[test]
-fn finds_rules_that_never_match() {
+fn finds_rules_that_can_never_match() {
     for (first, second) in [
         ("{}", r#"{ "zone": "longbien" }"#),
         (r#"{ "path": "/**" }"#, "{}"),
@@ -191,12 +194,12 @@
             r#"{ "service": "b", "path": "/a" }"#,
         ),
     ] {
-        assert!(shadows(first, second), "{first} takes all of {second}");
+        assert!(shadows(first, second), "{first} should shadow {second}");
     }
 }
 
 #[test]
-fn does_not_call_a_live_rule_dead() {
+fn does_not_warn_about_rules_that_can_match() {
     for (first, second) in [
         (r#"{ "zone": "longbien" }"#, "{}"),
         (r#"{ "path": "/a/*/**" }"#, r#"{ "path": "/a/**" }"#),
@@ -217,25 +220,25 @@
     ] {
         assert!(
             !shadows(first, second),
-            "{second} has requests besides {first}"
+            "{first} should not shadow {second}"
         );
     }
 }
 
 #[test]
-fn tells_the_caller() {
+fn identifies_the_caller() {
     let document = parse(SONG_HONG);
     let peer: IpAddr = "::ffff:10.0.0.7".parse().unwrap();
-    let told = |sample: Sample| document.caller(&sample.headers, peer).to_string();
-    let sample = || Sample::of(Method::GET, "/");
+    let caller = |sample: OwnedRequest| document.caller(&sample.headers, peer).to_string();
+    let sample = || OwnedRequest::of(Method::GET, "/");
     assert_eq!(
-        told(sample().header("x-caller", "desk-3@clinic-7")),
+        caller(sample().header("x-caller", "desk-3@clinic-7")),
         "desk-3@clinic-7"
     );
-    assert_eq!(told(sample()), "10.0.0.7");
-    assert_eq!(told(sample().header("x-caller", "two words")), "10.0.0.7");
+    assert_eq!(caller(sample()), "10.0.0.7");
+    assert_eq!(caller(sample().header("x-caller", "two words")), "10.0.0.7");
     let twice = sample().header("x-caller", "a").header("x-caller", "b");
-    assert_eq!(told(twice), "10.0.0.7");
+    assert_eq!(caller(twice), "10.0.0.7");
     let unnamed = parse(r#"{ "rules": [{ "name": "a", "then": { "service": "b" } }] }"#);
     let headers = sample().header("x-caller", "a").headers;
     assert_eq!(
@@ -247,7 +250,7 @@
 #[test]
 fn finds_the_key_in_the_query() {
     let key = Key::Query("slip".to_string());
-    let find = |query: &str| key.find(&Sample::of(Method::POST, "/").query(query).request());
+    let find = |query: &str| key.find(&OwnedRequest::of(Method::POST, "/").query(query).request());
     assert_eq!(find("a=1&slip=R-41"), Ok(Some("R-41".to_string())));
     assert_eq!(find("%73lip=R%2D41"), Ok(Some("R-41".to_string())));
     assert_eq!(find("slip=R+41"), find("slip=R%2041"));
@@ -267,7 +270,7 @@
 #[test]
 fn finds_the_key_in_a_header() {
     let key = Key::Header("idempotency-key".to_string());
-    let sample = || Sample::of(Method::POST, "/");
+    let sample = || OwnedRequest::of(Method::POST, "/");
     assert_eq!(key.find(&sample().request()), Ok(None));
     let one = sample().header("idempotency-key", "order-7");
     assert_eq!(key.find(&one.request()), Ok(Some("order-7".to_string())));
--- a/crates/rule/tests/document_limits.rs
+++ b/crates/rule/tests/document_limits.rs
@@ -1,4 +1,4 @@
-//! The greatest documents, and those beyond.
+//! Documents at the maximum size, and beyond it.
 
 use rule::Document;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn takes_and_checks_the_most_rules() {
+fn accepts_and_checks_the_maximum_number_of_rules() {
     let document = Document::parse(&rules(Document::MAX_RULES)).unwrap();
     assert_eq!(document.rules().len(), Document::MAX_RULES);
     let warnings = document.check();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn refuses_more() {
+fn refuses_documents_above_the_maximum() {
     let error = Document::parse(&rules(Document::MAX_RULES + 1)).unwrap_err();
     let expected = "line 1, column 10: a list of 20001 elements: expected 1 to 20000";
     assert_eq!(error.to_string(), expected);
--- a/crates/rule/tests/files.rs
+++ b/crates/rule/tests/files.rs
@@ -1,4 +1,5 @@
-//! Every file of `good` parses without a warning, and every file of `bad` fails as it says.
+//! Tests that each file in `good` parses without warnings and each file in `bad` fails with the
+//! faults that it lists.
 
 use std::path::Path;
 
@@ -11,16 +12,17 @@
     Ok(())
 }
 
-/// Each `// expect:` line names a fault, in order, and there are no others.
+/// Each `// expect: ` line holds the beginning of a fault's text. The faults must be exactly these,
+/// in this order.
 fn bad(_: &Path, text: String) -> datatest_stable::Result<()> {
     let expected: Vec<&str> = text
         .lines()
         .filter_map(|line| line.strip_prefix("// expect: "))
         .collect();
-    assert!(!expected.is_empty(), "the file names no fault");
+    assert!(!expected.is_empty(), "the file has no \"// expect: \" line");
     let error = Document::parse(&text)
         .err()
-        .ok_or("the document was taken")?;
+        .ok_or("the document was accepted")?;
     let found: Vec<String> = error.faults().iter().map(ToString::to_string).collect();
     assert_eq!(found.len(), expected.len(), "{error}");
     for (found, expected) in found.iter().zip(expected) {
--- a/crates/rule/tests/pages.rs
+++ b/crates/rule/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The examples of the operators' page are the documents that `good` holds.
+//! Tests that the operators' page shows the documents in `good` unchanged.
 
 #[test]
 fn page_shows_the_tested_documents() {
--- a/crates/rule/tests/path.rs
+++ b/crates/rule/tests/path.rs
@@ -1,13 +1,13 @@
-//! Spellings of a path that would pass by a rule.
+//! Tests path normalization and path patterns.
 
 use rule::path::{PathError, normalize};
 use rule::pattern::Path;
 
-/// The caller of a destruction order wants it run without the rule that makes it run once. It
-/// spells the path so that the rule does not match while the target still understands it. Each
-/// spelling must either meet the rule all the same or be refused before it is sent anywhere.
+/// Guards against a caller that bypasses a rule, such as one that makes a request run at most once,
+/// with a path that doesn't match the rule but that the target still accepts. Each such path must
+/// either match the rule or be refused.
 #[test]
-fn no_spelling_dodges_a_rule() {
+fn alternative_spellings_do_not_bypass_a_rule() {
     let pattern: Path = "/vault/destroy/*".parse().unwrap();
     for raw in [
         "/vault/destroy/7",
@@ -18,8 +18,8 @@
         "/;x/vault/destroy/7",
         "/vault%3Bx/destroy/7",
     ] {
-        let cleaned = normalize(raw).unwrap();
-        assert!(pattern.matches(&cleaned), "{raw} became {cleaned}");
+        let normalized = normalize(raw).unwrap();
+        assert!(pattern.matches(&normalized), "{raw} became {normalized}");
     }
     for raw in [
         "/public/../vault/destroy/7",
@@ -38,12 +38,12 @@
         "vault/destroy/7",
         "*",
     ] {
-        assert!(normalize(raw).is_err(), "{raw} was taken");
+        assert!(normalize(raw).is_err(), "{raw} was accepted");
     }
 }
 
 #[test]
-fn keeps_what_targets_read_alike() {
+fn keeps_unambiguous_paths() {
     assert_eq!(normalize("/").as_deref(), Ok("/"));
     assert_eq!(
         normalize("/files/%C4%91%E1%BA%A5t").as_deref(),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn patterns_match_whole_segments() {
+fn patterns_match_complete_segments() {
     let matches = |pattern: &str, path: &str| {
         let pattern: Path = pattern.parse().expect("a pattern");
         assert_eq!(pattern.to_string().parse(), Ok(pattern.clone()));
--- a/crates/rule/tests/routes.rs
+++ b/crates/rule/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Rules by host and prefix, priorities, parts, and the bounds on callers.
+//! Tests hosts, prefixes, priorities, splits, connection limits and target settings.
 
 use http::{HeaderMap, Method};
 use rule::{Document, Request, Then};
@@ -35,19 +35,22 @@
 }"#;
 
 #[test]
-fn host_and_prefix_decide_byte_for_byte() {
+fn hosts_ignore_case_and_prefixes_are_compared_by_bytes() {
     let document = Document::parse(RULES).expect("rules");
     assert!(document.matches_raw_paths());
-    let found = |host, path| decide(&document, host, path);
-    assert_eq!(found("desk.example", "/a/b/c").as_deref(), Some("deep"));
-    assert_eq!(found("DESK.example:8080", "/a/bc").as_deref(), Some("wide"));
-    assert_eq!(found("other.example", "/a/b/").as_deref(), Some("rest"));
-    assert_eq!(found("desk.example", "/a/%62/c").as_deref(), Some("wide"));
-    assert_eq!(found("desk.example", "/ab"), None);
+    let matched = |host, path| decide(&document, host, path);
+    assert_eq!(matched("desk.example", "/a/b/c").as_deref(), Some("deep"));
+    assert_eq!(
+        matched("DESK.example:8080", "/a/bc").as_deref(),
+        Some("wide")
+    );
+    assert_eq!(matched("other.example", "/a/b/").as_deref(), Some("rest"));
+    assert_eq!(matched("desk.example", "/a/%62/c").as_deref(), Some("wide"));
+    assert_eq!(matched("desk.example", "/ab"), None);
 }
 
 #[test]
-fn priorities_are_ranked_by_those_in_use() {
+fn urgencies_follow_the_order_of_the_priorities_in_use() {
     let document = Document::parse(RULES).expect("rules");
     let urgency = |at: usize| match &document.rules()[at].then {
         Then::Route(route) => route.urgency,
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn parts_without_weight_get_nothing() {
+fn split_services_with_weight_0_are_left_out() {
     let document = Document::parse(RULES).expect("rules");
     let Then::Route(rest) = &document.rules()[2].then else {
         panic!("a route");
--- a/crates/rule/tests/scan.rs
+++ b/crates/rule/tests/scan.rs
@@ -1,4 +1,5 @@
-//! The index decides as a scan of all rules does, and the check calls no live rule dead.
+//! Tests that the index finds the same rule as a linear scan, and that rules that the check reports
+//! as unreachable never match.
 
 use http::{HeaderMap, HeaderValue, Method};
 use proptest::prelude::*;
@@ -50,7 +51,7 @@
         });
         let rules: Vec<String> = rules.collect();
         let text = format!(r#"{{ "rules": [{}] }}"#, rules.join(",\n"));
-        Document::parse(&text).expect("a good document")
+        Document::parse(&text).expect("a valid document")
     })
 }
 
