--- a/crates/rule/src/key.rs
+++ b/crates/rule/src/key.rs
@@ -1,53 +1,54 @@
-//! The key of a request that may run at most once.
+//! The idempotency key of a request that may run at most once.
 
 use http::HeaderName;
 use quick_error::quick_error;
 
 use crate::{Request, percent};
 
-/// Where the key of a request stands.
+/// The location of a request's idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display)]
 pub enum Key {
-    /// In the header field of this name, in lower case.
+    /// In the header field with this name, in lower case.
     #[display("header {_0}")]
     Header(String),
-    /// In the query parameter of this name.
+    /// In the query parameter with this name.
     #[display("query parameter {_0}")]
     Query(String),
 }
 
 quick_error! {
-    /// Why the key of a request can't be told; the entry answers 400 and the request never runs.
+    /// Why the key of a request can't be read; the entry answers 400 and the request never runs.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum KeyError {
         /// The key is longer than [`Key::MAX`].
-        Long(key: Key, bytes: usize) {
+        TooLong(key: Key, bytes: usize) {
             display("{key}: {bytes} bytes are too many: at most {} are allowed", Key::MAX)
         }
-        /// The key stands there more than once.
+        /// The header field or query parameter is given more than once.
         Repeated(key: Key) {
             display("{key}: given more than once")
         }
-        /// The key is not readable text.
-        Text(key: Key) {
+        /// The key is not valid UTF-8, is not percent-encoded correctly or has control characters.
+        NotText(key: Key) {
             display("{key}: not readable text")
         }
     }
 }
 
 impl Key {
-    /// Longest key in bytes, decoded.
+    /// Maximum length of a decoded key in bytes.
     pub const MAX: usize = 512;
 
-    /// The key of `request`; an empty one counts as absent.
+    /// Returns the key of `request`; an empty key counts as absent.
     ///
-    /// A query parameter is percent-decoded, and `+` stands for a space, as forms are encoded: two
-    /// spellings of one key must not run twice.
+    /// A query parameter is decoded as form data (percent-decoding, and `+` as a space), so that
+    /// differently encoded copies of one key count as the same key and run only once.
     ///
     /// # Errors
     ///
-    /// A key that is too long or not readable, or given more than once: the target might
-    /// take another of them than we do, and a resend with the two in another order would run again.
+    /// Returns an error if the key is too long, not valid text or given more than once. Of several
+    /// keys the target might use another one than the entry does, and a resend with the keys in
+    /// another order would run again.
     pub fn find(&self, request: &Request<'_>) -> Result<Option<String>, KeyError> {
         let found = match self {
             Key::Header(name) => self.in_header(name, request)?,
@@ -55,8 +56,10 @@
         };
         let found = found.filter(|text| !text.is_empty());
         match found {
-            Some(text) if text.len() > Key::MAX => Err(KeyError::Long(self.clone(), text.len())),
-            Some(text) if text.chars().any(char::is_control) => Err(KeyError::Text(self.clone())),
+            Some(text) if text.len() > Key::MAX => Err(KeyError::TooLong(self.clone(), text.len())),
+            Some(text) if text.chars().any(char::is_control) => {
+                Err(KeyError::NotText(self.clone()))
+            }
             found => Ok(found),
         }
     }
@@ -73,7 +76,7 @@
             return Err(KeyError::Repeated(self.clone()));
         }
         let text = std::str::from_utf8(value.as_bytes());
-        let text = text.map_err(|_| KeyError::Text(self.clone()))?;
+        let text = text.map_err(|_| KeyError::NotText(self.clone()))?;
         Ok(Some(text.trim().to_string()))
     }
 
@@ -87,7 +90,7 @@
             if found.is_some() {
                 return Err(KeyError::Repeated(self.clone()));
             }
-            let value = form_decode(value).ok_or_else(|| KeyError::Text(self.clone()))?;
+            let value = form_decode(value).ok_or_else(|| KeyError::NotText(self.clone()))?;
             found = Some(value.trim().to_string());
         }
         Ok(found)
--- a/crates/rule/src/lib.rs
+++ b/crates/rule/src/lib.rs
@@ -1,8 +1,9 @@
-//! The ordered rules: parse, check, match, explain.
+//! Routing rules: parsing, checking, matching and explanation.
 //!
-//! An operator writes rules of the form "when this, then that"; the first that matches a request
-//! decides how it is treated. This crate does no input or output: a document comes in as text, a
-//! request as borrowed parts, and the matching [`Rule`] goes out.
+//! An operator writes an ordered list of rules, each with conditions (`when`) and an action
+//! (`then`). The first rule that matches a request decides how the request is handled. This crate
+//! does no I/O: it parses a document from text, takes a request as borrowed parts and returns the
+//! matching [`Rule`].
 //!
 //! ```
 //! use http::{HeaderMap, Method};
@@ -25,7 +26,7 @@
 //!
 //! let headers = HeaderMap::new();
 //! let caller = document.caller(&headers, [10, 0, 0, 7].into());
-//! let path = rule::path::clean("/vault//destroy/41")?;
+//! let path = rule::path::normalize("/vault//destroy/41")?;
 //! let request = Request {
 //!     service: None,
 //!     method: &Method::POST,
@@ -41,7 +42,7 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod bounds;
+mod connection_limits;
 mod document;
 mod explain;
 mod index;
@@ -56,13 +57,13 @@
 mod then;
 mod when;
 
-pub use bounds::Bounds;
+pub use connection_limits::ConnectionLimits;
 pub use document::{Document, Rule};
-pub use explain::{Explanation, Miss};
+pub use explain::{Explanation, Mismatch};
 pub use jsonc::{Error, Fault, Position};
 pub use key::{Key, KeyError};
 pub use request::Request;
 pub use shadow::Warning;
 pub use target::Target;
-pub use then::{Part, Preference, Refuse, Route, Then};
+pub use then::{Preference, Refusal, Route, Then, WeightedService};
 pub use when::{Field, Header, When};
