--- a/crates/feed/src/message.rs
+++ b/crates/feed/src/message.rs
@@ -1,7 +1,7 @@
-//! What daemons say to each other about rules and roster.
+//! Messages that daemons send each other about rules and roster.
 //!
-//! Each message is one note on a stream of its own, and gets one [`Answer`]. Both are postcard,
-//! and fit in a frame: rules go in pieces, and records in lots of at most [`LOT`].
+//! Each message is one note on a stream of its own and gets one [`Answer`]. Both are encoded with
+//! postcard and fit in one frame: rules are sent in pieces, records in batches of at most [`LOT`].
 
 use roster::{Beat, Bucket, Record, Summary, Vote};
 use serde::{Deserialize, Serialize};
@@ -9,24 +9,24 @@
 
 use crate::{Ask, Packed, Piece};
 
-/// Most records in one message. A record has 100 bytes, and some 500 with the longest names.
+/// Maximum number of records in one message. A record takes about 100 bytes, and about 500 with the
+/// longest names.
 pub const LOT: usize = 1_000;
 
-/// A message of one daemon to another.
+/// A message from one daemon to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A sign of life, with the digest and the version that the sender holds. Answered by
-    /// [`Answer::Beat`].
+    /// A heartbeat with the sender's roster digest and rules version. Answered by [`Answer::Beat`].
     Beat(Beat),
-    /// Records that are news, to be passed on down the zone's tree. Answered by [`Answer::Done`].
+    /// Updated records, to be relayed down the zone's tree. Answered by [`Answer::Done`].
     Records(News),
-    /// Rules that are news, to be passed on down the zone's tree. Answered by [`Answer::Done`].
+    /// Updated rules, to be relayed down the zone's tree. Answered by [`Answer::Done`].
     Rules(Push),
-    /// Asks for a piece of the rules in force. Answered by [`Answer::Piece`].
+    /// A request for a piece of the rules in force. Answered by [`Answer::Piece`].
     Ask(Ask),
     /// The digests of the sender's roster. Answered by [`Answer::Pages`].
     Summary(Summary),
-    /// Records that the receiver lacks; they go no further. Answered by [`Answer::Records`].
+    /// Records that the receiver lacks; they are not relayed. Answered by [`Answer::Records`].
     Repair(Vec<Record>),
     /// The sender's verdict on an instance. Answered by [`Answer::Done`].
     Vote(Vote),
@@ -35,46 +35,47 @@
 /// The answer to a [`Message`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Taken in, or known already.
+    /// The message was applied, or its content was already known.
     Done,
-    /// The answering side's own beat.
+    /// The heartbeat of the answering daemon.
     Beat(Beat),
     /// A piece of the rules in force; `None` if there is none.
     Piece(Option<Piece>),
     /// The records of the buckets in which the rosters differ.
     Pages(Vec<Page>),
-    /// Records that outrank those of a [`Message::Repair`].
+    /// Records that supersede those of a [`Message::Repair`].
     Records(Vec<Record>),
 }
 
-/// Records on their way down a zone's tree.
+/// Updated records that are relayed down a zone's tree.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// Orders the tree; see [`roster::Roster::relay_children`]. The same for the same records.
+    /// Determines the order of the tree; see [`roster::Roster::relay_children`]. The same records
+    /// always have the same seed.
     pub seed: u64,
     /// The records.
     pub records: Vec<Record>,
 }
 
-/// Rules on their way down a zone's tree.
+/// Updated rules that are relayed down a zone's tree.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Push {
-    /// Their version.
+    /// The version of the rules.
     pub version: Version,
-    /// Their text if it is short; a long one is fetched by those who lack it.
+    /// The text of short rules; daemons that lack longer rules fetch them.
     pub text: Option<Packed>,
 }
 
-/// The records of one bucket.
+/// The records of one bucket of the roster.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// Which bucket.
+    /// The bucket.
     pub bucket: Bucket,
-    /// All that is held of it.
+    /// All records that the sender holds in this bucket.
     pub records: Vec<Record>,
 }
 
-/// The kinds of messages, for counts.
+/// The kind of a message, by which traffic is counted.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, derive_more::Display,
 )]
