--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -1,4 +1,4 @@
-//! One daemon's part in carrying rules and roster.
+//! The part of one daemon in distributing rules and roster.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,10 +28,11 @@
 use crate::stats::Stats;
 use crate::{Current, Error, announce, era, fallback, leave, note, pulse, watch};
 
-/// How long an answer may take.
+/// Maximum time to wait for an answer.
 pub(crate) const WAIT: Duration = Duration::from_secs(2);
 
-/// Carries rules and roster for one daemon; clones share it. See the [crate's page](crate).
+/// Distributes rules and roster for one daemon; clones share its state. See the [crate's
+/// page](crate).
 #[derive(Clone)]
 pub struct Feed {
     inner: Arc<Inner>,
@@ -46,29 +47,29 @@
     pub(crate) prefix: String,
     pub(crate) rules_key: String,
     pub(crate) changed: Mutex<Box<dyn Fn() + Send + Sync>>,
-    /// The roster's version that `changed` was last called for.
+    /// The roster version for which `changed` was last called.
     pub(crate) published: Mutex<Version>,
     pub(crate) linked: Box<dyn Fn() -> Vec<Instance> + Send + Sync>,
     pub(crate) mistaken: Box<dyn Fn() -> u64 + Send + Sync>,
     pub(crate) rng: Mutex<Pcg64Mcg>,
     pub(crate) jobs: mpsc::Sender<Job>,
-    /// Taken by the one run.
+    /// Taken by the first call of [`Feed::run`].
     pub(crate) queue: Mutex<Option<mpsc::Receiver<Job>>>,
     pub(crate) count: Count,
     pub(crate) stats: Stats,
     pub(crate) passed: Mutex<Passed>,
-    /// The own object, as far as it is known; held while it is written.
+    /// The last known state of the own object in the store; locked while the object is written.
     pub(crate) object: tokio::sync::Mutex<Held>,
-    /// When the store was last known to have come back from an older copy.
+    /// When the store was last found to have been restored from an older copy.
     pub(crate) rolled_back: Mutex<Option<Instant>>,
-    /// Held while rosters are compared, which is done with one neighbour at a time.
+    /// Locked during a roster comparison; only one runs at a time.
     pub(crate) syncing: tokio::sync::Mutex<()>,
-    /// Held while objects of others are written or deleted.
+    /// Locked while objects of other instances are written or deleted.
     pub(crate) repairing: tokio::sync::Mutex<()>,
     pub(crate) fetch: Mutex<Fetch>,
     pub(crate) pace: Pace,
     pub(crate) standing: bool,
-    /// Cancelled once the announcements have been read for the first time.
+    /// Cancelled once the announcements have been listed for the first time.
     pub(crate) listed: CancellationToken,
 }
 
@@ -77,34 +78,34 @@
 pub struct Dump {
     /// The version of the rules in force.
     pub rules: Version,
-    /// The newest era of the store that is known.
+    /// The newest known era of the store.
     pub era: Option<Era>,
     /// Whether this daemon watches the platform for its zone.
     pub watcher: bool,
-    /// The calls on the store.
+    /// The calls made to the store.
     pub store: store::Count,
     /// Messages and bytes by kind.
     pub flows: BTreeMap<Kind, Flow>,
 }
 
 impl Dump {
-    /// Bytes of all kinds on the network, sent and received; see [`Flow`].
+    /// The bytes of all kinds sent and received on the network; see [`Flow`].
     pub fn network_bytes(&self) -> u64 {
         self.flows.values().map(|flow| flow.network_bytes).sum()
     }
 }
 
 impl Feed {
-    /// Starts to build a feed that puts announcements into `roster` and rules into `current`.
+    /// Returns a builder for a feed that puts announcements into `roster` and rules into `current`.
     pub fn builder(store: Store, roster: Arc<Shared>, current: Arc<Current>) -> Builder {
         Builder::new(store, roster, current)
     }
 
-    /// Does all that the feed does by itself, until it is dropped. It is to be run once.
+    /// Runs the feed's background tasks until the future is dropped. Only the first call runs them.
     pub async fn run(&self) {
         let queue = self.inner.queue.lock().take();
         let Some(mut queue) = queue else {
-            log::error!("feed: runs already.");
+            log::error!("feed: already running.");
             return;
         };
         let mut tasks = JoinSet::new();
@@ -120,29 +121,30 @@
                     tasks.spawn(job::run(self.inner.clone(), job));
                 }
                 Some(Err(error)) = tasks.join_next() => {
-                    log::error!("feed: a task has failed: {error}.");
+                    log::error!("feed: background task failed: {error}.");
                     return;
                 }
             }
         }
     }
 
-    /// Answers one message of `from`, which the link has authenticated. It does no I/O; what
-    /// follows from the message is done by [`Feed::run`].
+    /// Answers one message of `from`, which the link has authenticated. This does no I/O; the work
+    /// that follows from the message is queued for [`Feed::run`].
     ///
     /// # Errors
     ///
-    /// [`Error::Stranger`] if `from` isn't in the roster, [`Error::Wire`] if the payload is no
-    /// message, [`Error::Improper`] if `from` says what isn't its to say. The stream is then to be
-    /// ended without an answer.
+    /// [`Error::Stranger`] if `from` isn't in the roster, [`Error::Wire`] if the payload doesn't
+    /// decode, [`Error::Improper`] if `from` may not send this message. The caller should then end
+    /// the stream without an answer.
     pub fn note(&self, from: &Instance, payload: &[u8]) -> Result<Bytes, Error> {
         note::answer(&self.inner, from, payload)
     }
 
-    /// Takes in what a peer says of itself at the beginning of a link, and catches up with it.
+    /// Merges the record that a peer sends when a link is opened, and synchronizes with the peer if
+    /// the record is new here or no rules are in force.
     ///
-    /// A daemon that has just started, while the store can't be reached, learns in this way who is
-    /// there and what the rules are.
+    /// A daemon that starts while the store is unreachable learns the other instances and the rules
+    /// in this way.
     pub fn greeted(&self, record: &Record) {
         let now = Instant::now();
         let me = self.inner.with(|roster| roster.me().clone());
@@ -157,9 +159,9 @@
         }
     }
 
-    /// Announces that this instance leaves: first to the other daemons, then to the store.
+    /// Announces that this instance is leaving, first to the other daemons and then to the store.
     ///
-    /// Its observers, the watchers of all zones and the daemons with open links are told in
+    /// Notifies its observers, the watchers of all zones and the daemons with open links in
     /// parallel. It takes at most 2 s for these, and 2 s for the store.
     pub async fn leave(&self) {
         leave::leave(&self.inner).await;
@@ -170,18 +172,18 @@
         leave::depart(&self.inner, false).await;
     }
 
-    /// Announces that this process ends and another one is about to take its place. Its object stays
-    /// where announcements outlive a restart, else it is deleted.
+    /// Announces that this process ends and another one is about to take its place. Its object is
+    /// kept if announcements outlive a restart, and deleted otherwise.
     pub async fn restart(&self) {
         leave::depart(&self.inner, true).await;
     }
 
-    /// What is measured of the rules on their way.
+    /// The metrics of rules distribution.
     pub fn stats(&self) -> &Stats {
         &self.inner.stats
     }
 
-    /// The state of the feed.
+    /// The state of the feed, for operators.
     pub fn dump(&self) -> Dump {
         Dump {
             rules: self.inner.current.version(),
@@ -202,7 +204,7 @@
 }
 
 impl Inner {
-    /// Runs `job` on the roster, then tells readers if they may see a change.
+    /// Runs `job` on the roster, then calls `changed` if readers may see a change.
     pub(crate) fn with<T>(&self, job: impl FnOnce(&mut Roster) -> T) -> T {
         let result = self.roster.with(job);
         let version = self.roster.version();
@@ -213,17 +215,18 @@
             newer
         };
         if newer {
-            // One at a time, or a slow reader could put an older state over a newer one.
+            // Calls are serialized; otherwise a slow reader could overwrite newer state with older.
             let changed = self.changed.lock();
             changed();
         }
         result
     }
 
-    /// Leaves work to the run. If too much waits already it is dropped; beats find what is missed.
+    /// Queues a job for [`Feed::run`]. If the queue is full the job is dropped; heartbeats later
+    /// detect what was missed.
     pub(crate) fn later(&self, job: Job) {
         if self.jobs.try_send(job).is_err() {
-            log::warn!("feed: too much work waits, and some is dropped.");
+            log::warn!("feed: job queue is full, dropping a job.");
         }
     }
 
@@ -235,13 +238,13 @@
         format!("{}{instance}", self.prefix)
     }
 
-    /// Sends a message and reads its answer.
+    /// Sends a message and waits for its answer.
     pub(crate) async fn ask(&self, to: &Instance, message: &Message) -> Result<Answer, Error> {
         let payload = wire::codec::pack(message)?;
         self.ask_packed(to, message.kind(), payload, WAIT).await
     }
 
-    /// Sends a message that is packed already, which one to many is once.
+    /// Sends a message that is already encoded, so that one sent to many is encoded once.
     pub(crate) async fn ask_packed(
         &self,
         to: &Instance,
@@ -260,7 +263,8 @@
         Ok(wire::codec::unpack(&answer)?)
     }
 
-    /// Takes a record in from another daemon; true if it is held now, news or not.
+    /// Merges a record from another daemon. Returns true if it is now the record held here, whether
+    /// or not it was new.
     pub(crate) fn merge(&self, record: &Record) -> bool {
         let now = Instant::now();
         self.with(|roster| {
