--- a/crates/feed/src/relay.rs
+++ b/crates/feed/src/relay.rs
@@ -1,4 +1,4 @@
-//! News on its way down the trees of the zones.
+//! Relays updates down the trees of the zones.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -12,21 +12,24 @@
 use crate::job::Job;
 use crate::message::{Kind, LOT, Message, News};
 
-/// How long a child in the tree may take to answer before its own children are told in its place.
+/// Time within which a child in the tree must answer before its own children are sent the update
+/// directly.
 ///
-/// It covers a new link between regions, and leaves time for the rest within the five seconds in
-/// which rules have to be in force.
+/// It covers a new link between regions, and leaves time for the remaining levels within the five
+/// seconds in which rules must be in force.
 const CHILD_WAIT: Duration = Duration::from_millis(500);
-/// How many lots of news are remembered as passed on.
+/// Number of relayed updates that are remembered.
 const REMEMBERED: usize = 1_024;
-/// Most news of one listing that goes down the trees. More are found by comparing digests, which
-/// costs each daemon one exchange instead of a message from each watcher.
+/// Maximum number of updated records of one listing that go down the trees. Larger sets are found
+/// by comparing digests, which costs each daemon one exchange instead of a message from each
+/// watcher.
 const MOST_NEWS: usize = 64;
 
-/// What this daemon has passed on.
+/// The updates that this daemon has relayed.
 ///
-/// Passing on depends on having passed on before, not on the news being new here: a daemon that
-/// was told directly, or by a beat, still has children that wait for it in the tree.
+/// Whether to relay depends on whether this daemon has relayed the update before, not on whether
+/// the update is new here: a daemon that received it directly, or found it through a heartbeat,
+/// still has children in the tree that depend on it.
 #[derive(Debug, Default)]
 pub(crate) struct Passed {
     seeds: BTreeSet<u64>,
@@ -35,7 +38,7 @@
 }
 
 impl Passed {
-    /// Notes a lot of news; false if it was noted before.
+    /// Records an update as relayed; false if it already was.
     pub(crate) fn news(&mut self, seed: u64) -> bool {
         if !self.seeds.insert(seed) {
             return false;
@@ -49,7 +52,7 @@
         true
     }
 
-    /// Notes a version of the rules; false if it or a later one was noted before.
+    /// Records a version of the rules as relayed; false if it or a later one already was.
     pub(crate) fn rules(&mut self, version: Version) -> bool {
         let newer = version > self.rules;
         self.rules = version.max(self.rules);
@@ -57,29 +60,32 @@
     }
 }
 
-/// The seed of records: the same for the same records, wherever they were found.
+/// Derives the tree's seed from the records alone, wherever they were found.
 ///
-/// So the three watchers of a zone, who read the same change, send down one tree and not three.
+/// The three watchers of a zone, which read the same change, thus use one tree instead of three.
 fn seed(records: &[Record]) -> u64 {
     let packed = records.iter().filter_map(|r| wire::codec::pack(r).ok());
     let digests = packed.map(|bytes| Digest::of(&bytes).0 as u64);
     digests.fold(0, u64::wrapping_add)
 }
 
-/// Passes news that came down the tree on to the children.
+/// Relays an update that came down the tree to the children.
 pub(crate) async fn pass(inner: &Inner, news: News) {
     let children = children(inner, news.seed);
     let seed = news.seed;
     deliver(inner, seed, Message::Records(news), children).await;
 }
 
-/// Tells the own zone of what this daemon, as a watcher, has read on the platform.
+/// Relays to the own zone what this daemon, as a watcher, has read from the platform.
 pub(crate) fn publish(inner: &Inner, records: Vec<Record>) {
     if records.is_empty() {
         return;
     }
     if records.len() > MOST_NEWS {
-        log::info!("feed: {} records are left to beats.", records.len());
+        log::info!(
+            "feed: {} updated records are too many to relay, leaving them to heartbeats.",
+            records.len()
+        );
         return;
     }
     let seed = seed(&records);
@@ -88,7 +94,7 @@
     }
 }
 
-/// Tells all zones, and `others` directly, of records that arose here.
+/// Sends records that originate here to all zones, and to `others` directly.
 pub(crate) async fn spread(inner: &Inner, records: Vec<Record>, others: &[Instance]) {
     for lot in records.chunks(LOT) {
         let seed = seed(lot);
@@ -101,14 +107,15 @@
     }
 }
 
-/// Tells all zones of removals, and each removed instance, which refutes it if it lives.
+/// Sends removals to all zones, and to each removed instance, which refutes its removal if it is
+/// alive.
 pub(crate) async fn removed(inner: &Inner, records: Vec<Record>) {
     let names: Vec<Instance> = records.iter().map(|r| r.instance.clone()).collect();
     spread(inner, records, &names).await;
 }
 
-/// Whom this daemon passes on to: its children in the tree and, if it is one of the roots, the
-/// other roots. Each of these may have lost its watch, or have stopped.
+/// The daemons to which this one relays: its children in the tree and, if it is one of the roots,
+/// the other roots. Any of the roots may have lost its watch or have stopped.
 pub(crate) fn children(inner: &Inner, seed: u64) -> Vec<Instance> {
     inner.with(|roster| {
         let me = roster.me().clone();
@@ -121,7 +128,7 @@
     })
 }
 
-/// Sends one message to each of `to`, all at once; names those that did not take it.
+/// Sends one message to each of `to` in parallel, and returns those that did not accept it.
 pub(crate) async fn deliver(
     inner: &Inner,
     seed: u64,
@@ -132,7 +139,7 @@
     let payload = match wire::codec::pack(&message) {
         Ok(payload) => payload,
         Err(error) => {
-            log::error!("feed: {kind} can't be packed: {error}.");
+            log::error!("feed: {kind} message can't be encoded: {error}.");
             return Vec::new();
         }
     };
@@ -146,11 +153,12 @@
     join_all(sends).await.into_iter().flatten().collect()
 }
 
-/// Sends to one child, and to the children of one that doesn't answer; whether the child did.
+/// Sends to one child and, if it does not answer, to that child's children. Returns whether the
+/// child answered.
 ///
-/// A daemon that has just stopped would cut its part of the tree off until beats find the change,
-/// some seconds later. Its children are taken over once and no deeper, so that a zone that is
-/// gone costs its parents a bounded number of messages.
+/// Otherwise a daemon that has just stopped would cut off its part of the tree until heartbeats
+/// find the change some seconds later. Only one level is taken over, so that an unreachable zone
+/// costs its parents a bounded number of messages.
 async fn reach(inner: &Inner, seed: u64, kind: Kind, payload: Bytes, child: &Instance) -> bool {
     let sent = inner
         .ask_packed(child, kind, payload.clone(), CHILD_WAIT)
