--- a/crates/feed/src/watch.rs
+++ b/crates/feed/src/watch.rs
@@ -1,4 +1,4 @@
-//! What a daemon reads of the platform: once when it starts, and further as a watcher of its zone.
+//! Reads the platform once at the start, and watches it while this daemon is a watcher of its zone.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,29 +11,31 @@
 use crate::feed::Inner;
 use crate::platform::{self, Role};
 
-/// How often a daemon looks whether it is a watcher.
+/// Interval at which a daemon checks whether it is a watcher.
 const LOOK: Duration = Duration::from_secs(1);
-/// How many looks in a row must find that it is none before it stops to watch. Rosters differ
-/// for moments, and each start to watch costs a listing.
+/// Number of consecutive checks that must find this daemon not to be a watcher before it stops
+/// watching. Rosters differ for moments, and each new watch costs a listing.
 const LOOKS: u32 = 5;
-/// The pauses between failed readings.
+/// Initial pause between failed reads.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// How many instances of a zone watch the announcements. Whoever starts or leaves tells the others by
-/// links, so this watch only finds what they have missed; rules come by no other way.
+/// Number of instances per zone that watch the announcements. Instances that start or leave notify
+/// the others over links, so this watch only finds what those have missed; rules have no other
+/// source.
 const INSTANCE_WATCHERS: usize = 1;
 
-/// How long a newcomer waits before it lists again. Those that have started with it have announced
-/// themselves by then: a call takes some milliseconds, and a start of all spreads over half a second.
+/// Delay before a newly started daemon lists again. Daemons that started at the same time have
+/// announced themselves by then: a call takes some milliseconds, and a simultaneous start of all
+/// spreads over half a second.
 const SETTLE: Duration = Duration::from_millis(1_500);
 
-/// How often a newcomer that still knows nobody lists again.
+/// Maximum number of further listings while no other instance is known.
 const SETTLES: u32 = 3;
 
-/// Over what time watchers read again when the store has come back from an older copy.
+/// Period over which watchers spread their reads after the store was restored from an older copy.
 const ROLLBACK_SPREAD: Duration = Duration::from_millis(200);
 
-/// What a watcher watches.
+/// The part of the platform that a watch covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Part {
     Instances,
@@ -51,18 +53,18 @@
     Backoff::new(PAUSE, inner.pace.pause, seed)
 }
 
-/// Reads the announcements, until it has them, and the rules.
+/// Lists the announcements, retrying until that succeeds, and then reads the rules once.
 ///
-/// Nobody else can tell a newcomer who is there: it knows no address, and no daemon accepts a
-/// link whose certificate isn't announced. Once it has the announcements it needs the platform no
-/// more: what the platform fails to tell, its neighbours do.
+/// A newly started daemon can only learn the other instances from the platform: it knows no
+/// address, and no daemon accepts a link whose certificate isn't announced. Once it has the
+/// announcements it no longer depends on the platform: neighbours supply what the platform doesn't.
 ///
-/// What is some seconds old is enough here: links tell what is new in it, and watchers read on from a
-/// listing that isn't old.
+/// A result that is some seconds old is enough here: later changes arrive over links, and watchers
+/// continue from a linearizable listing.
 async fn begin(inner: &Inner) {
     let mut backoff = backoff(inner);
     while let Err(error) = platform::list(inner, Role::Reader, Consistency::Serializable).await {
-        log::warn!("feed: {error}. Nobody is known yet.");
+        log::warn!("feed: {error}. No other instances are known yet.");
         sleep(backoff.pause()).await;
     }
     inner.listed.cancel();
@@ -75,21 +77,21 @@
 async fn first_rules(inner: &Inner) {
     let rules = platform::rules(inner, Role::Reader, Consistency::Serializable).await;
     if let Err(error) = rules {
-        log::warn!("feed: {error}. The neighbours are asked.");
+        log::warn!("feed: {error}. Rules will come from neighbours.");
     }
 }
 
-/// Lists again some time after the own announcement, until somebody is known.
+/// Lists again some time after the own announcement, until another instance is known.
 ///
-/// Where all start for the first time at once, the first listing shows nobody or few. Each that took
-/// itself for a watcher then would list once more at the full price, and watch: with 195 daemons, 390
-/// calls that nobody needs.
+/// If all daemons start for the first time at once, the first listing shows few or none. Each would
+/// then take itself for a watcher, make another linearizable listing, and watch: with 195 daemons,
+/// 390 unnecessary calls.
 async fn settle(inner: &Inner) {
     for _ in 0..SETTLES {
         sleep(SETTLE + inner.jitter(SETTLE / 2)).await;
         let listed = platform::list(inner, Role::Reader, Consistency::Serializable).await;
         if let Err(error) = listed {
-            log::warn!("feed: {error}. The others are not all known yet.");
+            log::warn!("feed: {error}. Some instances may not be known yet.");
         }
         if inner.current.version() == Version::NONE {
             first_rules(inner).await;
@@ -100,7 +102,7 @@
     }
 }
 
-/// Watches one part whenever it falls to this daemon, for ever.
+/// Watches one part whenever this daemon is responsible for it. Never returns.
 async fn watch(inner: &Inner, part: Part) {
     let mut backoff = backoff(inner);
     loop {
@@ -124,7 +126,8 @@
     })
 }
 
-/// Reads one part, then watches it until this daemon is no watcher, or the watch can't go on.
+/// Reads one part, then watches it until this daemon is no longer a watcher, the watch fails or the
+/// store's era changes.
 async fn serve(inner: &Inner, part: Part, backoff: &mut Backoff) -> Result<(), Error> {
     let since = match part {
         Part::Instances => platform::list(inner, Role::Watcher, Consistency::Linearizable).await?,
@@ -139,13 +142,13 @@
         }
         result = follow(inner, part, since, backoff) => result,
         () = relieved(inner, part) => {
-            log::info!("feed: others watch {part:?} on the platform.");
+            log::info!("feed: stops watching {part:?}, other daemons watch it now.");
             Ok(())
         }
     }
 }
 
-/// Resolves when this daemon is no watcher any more.
+/// Resolves once this daemon is no longer a watcher.
 async fn relieved(inner: &Inner, part: Part) {
     let mut looks = 0;
     while looks < LOOKS {
@@ -158,16 +161,18 @@
     }
 }
 
-/// Watches from `since` on, until a watch fails.
+/// Watches from revision `since` until a watch fails.
 ///
-/// All is read again then. A watch that the platform has forgotten leaves no other way, one that went
-/// silent may do so again, and what was lost during an outage shows only in a listing.
+/// The caller then reads everything again: the platform may have compacted the revision, an
+/// unresponsive watch may become so again, and changes lost during an outage only show in a
+/// listing.
 ///
-/// Behind an answer that tells something it waits for what comes in a row with it, to read that in one
-/// go: a watch costs a call each time that it answers. So it does behind one that comes early and empty.
+/// After an answer with changes it pauses, so that further changes in quick succession are read
+/// together: each answer of a watch costs a call. It also pauses after an empty answer that came
+/// early.
 ///
-/// The pauses behind failures begin anew once a watch has answered: left as they had grown in one outage,
-/// each failure for the rest of the process's life would keep news away for the longest of them.
+/// The backoff is reset once a watch has answered. Otherwise it would keep the length it reached in
+/// an outage, and every later failure would delay updates by the longest pause.
 async fn follow(
     inner: &Inner,
     part: Part,
