--- a/crates/feed/src/fetch.rs
+++ b/crates/feed/src/fetch.rs
@@ -1,8 +1,8 @@
-//! Rules that are fetched from other daemons, piece by piece.
+//! Fetches rules from other daemons, piece by piece.
 //!
-//! A daemon fetches one document at a time, and keeps the pieces that have come: a holder that is
-//! stopped, cut off or slow costs one piece, and the next holder goes on where it ended. A newer
-//! document that is heard of meanwhile takes the place of the one that is being fetched.
+//! A daemon fetches one document at a time and keeps the pieces that it has received: if a holder
+//! is stopped, cut off or slow, only one piece is lost, and the next holder continues at that
+//! offset. If a newer document is reported meanwhile, it replaces the one being fetched.
 
 use std::time::Duration;
 
@@ -18,52 +18,53 @@
 use crate::rules::{self, Arrival, Origin};
 use crate::{Error, Packed, carry};
 
-/// The longest piece in bytes.
+/// Maximum length of a piece in bytes.
 const PIECE: usize = 32 << 10;
 
-/// The longest packed text in bytes. What does not pack grows by a few bytes in a thousand.
+/// Maximum length of the packed text in bytes. Text that doesn't compress grows by a few bytes in a
+/// thousand.
 const LONGEST: usize = Document::MAX_TEXT + Document::MAX_TEXT / 100;
 
-/// How long a piece may take before another holder is asked.
+/// Time to wait for a piece before another holder is asked.
 const PIECE_WAIT: Duration = Duration::from_secs(1);
 
-/// A part of packed rules.
+/// A piece of packed rules.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
     /// The version of the rules.
     pub version: Version,
-    /// The digest of the whole of the packed bytes.
+    /// The digest of all packed bytes.
     pub digest: Digest,
-    /// The length of the whole in bytes.
+    /// The total length of the packed bytes.
     pub length: usize,
-    /// Where this part begins in it.
+    /// The offset of this piece in the packed bytes.
     pub offset: usize,
-    /// The part.
+    /// The bytes of this piece.
     pub bytes: Bytes,
 }
 
 /// Asks for the next piece of the rules in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The whole of which the asking side holds the beginning. A holder of another whole answers with
-    /// the first piece of its own.
+    /// The digest of the packed rules that the sender holds in part. A holder of other rules
+    /// answers with the first piece of its own.
     pub digest: Option<Digest>,
-    /// How many bytes of it the asking side holds.
+    /// How many of their bytes the sender holds.
     pub offset: usize,
 }
 
-/// Another daemon and the version of the rules that it has told.
+/// Another daemon and the version of the rules that it reported.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Holder {
     instance: Instance,
     version: Version,
 }
 
-/// The documents that are wanted, and the one that is coming.
+/// The known holders of newer rules, and the document that is being fetched.
 #[derive(Debug, Default)]
 pub(crate) struct Fetch {
     is_running: bool,
-    /// In the order in which they were heard of.
+    /// In the order in which they were first reported.
     holders: Vec<Holder>,
     partial: Option<Partial>,
 }
@@ -77,16 +78,16 @@
     began: Instant,
 }
 
-/// What a piece has made of the document that is coming.
+/// The result of taking in one piece.
 enum Progress {
-    /// The next piece is wanted.
+    /// More pieces are needed.
     Partial,
-    /// Nothing newer is there.
+    /// The holder has nothing newer.
     Nothing,
     Complete(Partial),
 }
 
-/// Notes that `holder` has rules of `version`, and has them fetched if they are wanted.
+/// Records that `holder` has rules of `version`, and starts a fetch if they are wanted.
 pub(crate) fn heard(inner: &Inner, holder: &Instance, version: Version) {
     if !inner.current.wants(version) {
         return;
@@ -108,7 +109,7 @@
     }
 }
 
-/// Fetches the newest rules that were heard of, until none are wanted or no holder is left.
+/// Fetches the newest reported rules, until none are wanted or no holder is left.
 pub(crate) async fn run(inner: &Inner) {
     if std::mem::replace(&mut inner.fetch.lock().is_running, true) {
         return;
@@ -129,7 +130,7 @@
     }
 }
 
-/// The first holder of the newest version that is wanted.
+/// Returns the first holder of the newest version that is wanted.
 fn next(inner: &Inner) -> Option<Holder> {
     let mut fetch = inner.fetch.lock();
     fetch
@@ -142,7 +143,7 @@
         .find(|holder| Some(holder.version) == newest);
     let holder = holder.cloned();
     if holder.is_none() {
-        // Under the same lock: whoever is heard of from here on has a run of its own.
+        // Reset under the same lock, so that a holder reported from here on starts a new run.
         fetch.is_running = false;
         let partial = fetch.partial.take();
         fetch.partial = partial.filter(|partial| inner.current.wants(partial.version));
@@ -155,7 +156,7 @@
     fetch.holders.retain(|known| known.instance != *holder);
 }
 
-/// Asks the observers what they hold, if no other holder is known.
+/// Probes the observers if no other holder is known.
 fn look_around(inner: &Inner) {
     if inner.fetch.lock().holders.is_empty() {
         for observer in inner.with(|roster| roster.heartbeat_receivers()) {
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Adds a piece to what has come; one of another document begins anew.
+    /// Appends a piece to those received; a piece of another document starts anew.
     fn take(&mut self, holder: &Instance, piece: Piece) -> Result<Progress, Error> {
         let known = self.partial.take();
         let known = known.filter(|known| known.digest == piece.digest);
@@ -202,7 +203,10 @@
         let fits =
             piece.offset == partial.bytes.len() && end.is_some_and(|end| end <= piece.length);
         if !is_short || !fits || piece.bytes.is_empty() || piece.length != partial.length {
-            return Err(Error::Improper(holder.clone(), "a piece that doesn't fit"));
+            return Err(Error::Improper(
+                holder.clone(),
+                "piece does not follow the bytes received",
+            ));
         }
         partial.version = piece.version;
         partial.bytes.extend(piece.bytes);
@@ -211,13 +215,17 @@
             return Ok(Progress::Partial);
         }
         if Digest::of(&partial.bytes) != partial.digest {
-            return Err(Error::Improper(holder.clone(), "pieces of another whole"));
+            return Err(Error::Improper(
+                holder.clone(),
+                "digest of the received pieces does not match",
+            ));
         }
         Ok(Progress::Complete(partial))
     }
 }
 
-/// Offers rules that have come whole. A holder whose rules can't be unpacked is asked no more.
+/// Offers rules of which all pieces have been received. A holder whose rules can't be unpacked is
+/// not asked again.
 fn offer(inner: &Inner, from: &Instance, partial: Partial) {
     let version = partial.version;
     let fetched = partial.began.elapsed();
@@ -234,7 +242,7 @@
     }
 }
 
-/// The piece of the rules in force that `ask` names.
+/// Returns the piece of the rules in force for which `ask` asks.
 pub(crate) fn answer(inner: &Inner, ask: Ask) -> Option<Piece> {
     let rules = inner.current.get()?;
     let packed = rules.packed()?;
