--- a/crates/feed/src/rules.rs
+++ b/crates/feed/src/rules.rs
@@ -1,4 +1,4 @@
-//! Rules: offered, passed on, fetched.
+//! Puts rules in force and relays them.
 
 use std::time::Duration;
 
@@ -11,36 +11,37 @@
 use crate::relay;
 use crate::{Error, Offer, Packed};
 
-/// The longest packed text that goes down the tree at once, in bytes.
+/// Maximum length in bytes of packed text that is sent down the tree with its version.
 ///
-/// A longer one is announced by its version and fetched once by each daemon that lacks it. That
-/// costs a round trip a level, and saves those that are reached twice the text.
+/// For a longer text only the version is sent, and each daemon that lacks it fetches it once. That
+/// costs a round trip per level, but daemons that are reached twice don't receive the text twice.
 pub const SHORT: usize = 16_000;
 
-/// Where rules have come from.
+/// How rules came to this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// From the tree or a watch: those below wait for it.
+    /// From the tree or a watch; the daemons further down the tree depend on this one to relay
+    /// them.
     Tree,
-    /// Asked for by this daemon.
+    /// Requested by this daemon.
     Asked,
 }
 
-/// Rules as they have come to this daemon.
+/// Rules received by this daemon.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Arrival<'a> {
     pub(crate) version: Version,
     pub(crate) origin: Origin,
-    /// Who has sent them; `None` if they were read from the store.
+    /// The sender; `None` if they were read from the store.
     pub(crate) from: Option<&'a Instance>,
-    /// How long they were fetched for.
+    /// How long the fetch from another daemon took.
     pub(crate) fetched: Duration,
 }
 
-/// Puts rules in force if they are newer, and has them passed on once.
+/// Puts rules in force if they are newer, and relays them once.
 ///
-/// Rules that don't parse here go no further: those below would refuse them too. They leave no
-/// trace but their version, so that the next good ones pass.
+/// Rules that don't parse here are not relayed: the daemons further down the tree would refuse them
+/// too. Only their version is remembered, so that the next valid rules are relayed.
 pub(crate) fn offer(
     inner: &Inner,
     arrival: Arrival<'_>,
@@ -56,7 +57,7 @@
     if offer == Offer::Taken {
         report(inner, &arrival, text.len(), began.elapsed());
     }
-    // A newcomer that fetches its first rules fetches what the others have.
+    // A newly started daemon that fetches its first rules fetches what the others already have.
     let news = origin == Origin::Tree || (offer == Offer::Taken && !first);
     if news && inner.current.version() == version {
         pass_on(inner, version);
@@ -64,7 +65,7 @@
     Ok(offer)
 }
 
-/// Offers rules that have come packed, unless newer ones are in force.
+/// Offers rules received in packed form, unless newer ones are in force.
 pub(crate) fn unpack(inner: &Inner, arrival: Arrival<'_>, packed: Packed) {
     let version = arrival.version;
     let held = inner.current.version();
@@ -78,7 +79,7 @@
     let offered = text.and_then(|text| offer(inner, arrival, &text, Some(packed)));
     if let Err(error) = offered {
         let from = arrival.sender();
-        log::warn!("feed: rules {version} of {from} are not taken: {error}.");
+        log::warn!("feed: rules {version} from {from} not accepted: {error}.");
     }
 }
 
@@ -100,29 +101,29 @@
     inner.stats.read.observe(read.as_secs_f64());
 }
 
-/// Has the rules in force passed on, once.
+/// Queues the rules in force for relaying, once per version.
 pub(crate) fn pass_on(inner: &Inner, version: Version) {
     if inner.passed.lock().rules(version) {
         inner.later(Job::Push(version));
     }
 }
 
-/// Pauses behind a push that did not come through: a daemon that has just started again is taken
-/// for its former life until its announcement has come round, and its next beat is 5 s away.
+/// Pauses before a push that failed is repeated. Others take a restarted daemon for its former life
+/// until its announcement has spread, and its next heartbeat is 5 s away.
 const PUSH_AGAIN: [Duration; 2] = [Duration::from_secs(1), Duration::from_millis(1_500)];
 
-/// Orders the tree for a version.
+/// Derives the tree's seed from a version.
 fn seed(version: Version) -> u64 {
     version.era.0.rotate_left(u64::BITS / 2) ^ version.revision
 }
 
-/// Passes the rules in force on to the children, to those that don't take them again.
+/// Sends the rules in force to the children, and again to those that did not accept them.
 pub(crate) async fn push(inner: &Inner, version: Version) {
     let Some(rules) = inner.current.get() else {
         return;
     };
     if rules.version != version {
-        // Newer ones have come meanwhile, and have a push of their own.
+        // Newer rules are in force by now and have their own push.
         return;
     }
     let packed = rules.packed();
