--- a/crates/feed/src/platform.rs
+++ b/crates/feed/src/platform.rs
@@ -1,4 +1,4 @@
-//! What is read from the platform, put into the roster and the rules.
+//! Reads announcements and rules from the platform, and applies them to roster and rules.
 
 use std::time::Duration;
 
@@ -17,13 +17,13 @@
 /// What this daemon does with what it reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// It reads for itself.
+    /// It reads only for itself.
     Reader,
-    /// It watches for its zone: it passes news on, and mends the listing.
+    /// It watches for its zone: it relays updates, and repairs the listing.
     Watcher,
 }
 
-/// Reads all announcements; answers the revision at which a watch may begin.
+/// Lists all announcements. Returns the revision from which a watch may start.
 pub(crate) async fn list(
     inner: &Inner,
     role: Role,
@@ -46,7 +46,7 @@
     Ok(listing.revision)
 }
 
-/// Where announcements outlive a restart, that of a former life serves this one too.
+/// Uses the announcement of a former life for this one too, if announcements outlive a restart.
 async fn find_own(inner: &Inner, objects: &[Object], records: &[Record]) {
     if !inner.standing {
         return;
@@ -72,7 +72,7 @@
     }
 }
 
-/// Reads the rules, and offers them.
+/// Reads the rules and offers them.
 pub(crate) async fn rules(
     inner: &Inner,
     role: Role,
@@ -85,8 +85,8 @@
     Ok(())
 }
 
-/// Reads the rules for the zone; answers the revision at which a watch may begin. The revision of the
-/// object itself may be older than what the platform remembers.
+/// Reads the rules for the zone. Returns the revision from which a watch may start. The object's
+/// own revision is unsuitable, as the platform may have compacted it.
 pub(crate) async fn rules_at(inner: &Inner) -> Result<Version, Error> {
     let listing = within_budget(|| inner.store.list(&inner.rules_key)).await?;
     let mut objects = listing.objects.iter();
@@ -96,8 +96,9 @@
     Ok(listing.revision)
 }
 
-/// Makes a call once the own budget allows it. A spent budget says nothing of the platform: taken for
-/// a failure of it, it would have all read again, which spends the budget again.
+/// Makes a call, waiting while the own budget is spent. A spent budget says nothing about the
+/// platform: treated as a failure, it would cause everything to be read again, which would spend
+/// the budget again.
 pub(crate) async fn within_budget<T, F>(call: impl Fn() -> F) -> Result<T, store::Error>
 where
     F: Future<Output = Result<T, store::Error>>,
@@ -113,7 +114,7 @@
     }
 }
 
-/// Takes in what a watch on the announcements tells.
+/// Applies a change reported by a watch on the announcements.
 pub(crate) fn instances(inner: &Inner, change: &Change) {
     let now = Instant::now();
     inner.with(|roster| roster.update_received(now));
@@ -131,7 +132,7 @@
     }
 }
 
-/// Passes on what a listing or change has brought, and has the listing mended.
+/// Relays the updates of a listing or change, and queues repairs of the listing.
 fn publish(inner: &Inner, found: Listing, objects: &[Object]) {
     relay::publish(inner, found.updates);
     if !found.restore.is_empty() {
@@ -149,16 +150,17 @@
     }
 }
 
-/// Offers the rules of an object.
+/// Offers the rules that an object holds.
 pub(crate) fn offer(inner: &Inner, object: &Object, role: Role) {
     let version = object.version;
     if version < inner.current.version() {
-        // A reading that took long may be overtaken. If it happens again and again, the store was
-        // restored: what is in force stays, and operators must know why edits have no effect.
-        log::warn!("feed: the platform's rules {version} are older than those in force.");
+        // A slow read may be overtaken by newer rules. If this happens repeatedly, the store was
+        // restored from an older copy: the rules in force stay, and operators need to know why
+        // edits have no effect.
+        log::warn!("feed: rules {version} of the platform are older than those in force.");
     }
     let Ok(text) = std::str::from_utf8(&object.value) else {
-        log::error!("feed: rules {version} are no text.");
+        log::error!("feed: rules {version} are not valid UTF-8.");
         return;
     };
     let origin = match role {
@@ -171,7 +173,7 @@
         from: None,
         fetched: Duration::ZERO,
     };
-    // A refusal is logged where it arises, and the last good rules stay.
+    // Refused rules are logged where the refusal arises, and those in force stay.
     drop(rules::offer(inner, arrival, text, None));
 }
 
@@ -179,15 +181,19 @@
     key.strip_prefix(&inner.prefix)?.parse().ok()
 }
 
-/// The announcement in an object. One that can't be read, or that speaks of another instance than its
-/// key, is another writer's and names nobody.
+/// Decodes the announcement in an object. One that can't be decoded, or names another instance than
+/// its key, was written by something else and is ignored.
 pub(crate) fn record(object: &Object) -> Option<Record> {
     let parsed = serde_json::from_slice(&object.value);
     let parsed = parsed.inspect_err(|e| log::warn!("feed: object {}: {e}.", object.key));
     let record: Record = parsed.ok()?;
     let name = object.key.rsplit('/').next().unwrap_or_default();
     if record.instance.as_str() != name {
-        log::warn!("feed: object {} speaks of {}.", object.key, record.instance);
+        log::warn!(
+            "feed: object {} holds the record of another instance, {}.",
+            object.key,
+            record.instance
+        );
         return None;
     }
     Some(record)
