--- a/crates/feed/src/note.rs
+++ b/crates/feed/src/note.rs
@@ -1,4 +1,4 @@
-//! Answers to the messages of other daemons.
+//! Answers messages from other daemons.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::{Error, fetch, pulse, rules, sync};
 
 pub(crate) fn answer(inner: &Inner, from: &Instance, payload: &[u8]) -> Result<Bytes, Error> {
-    // Links know their peers by certificate; a name that isn't in the roster has none.
+    // Links identify their peers by certificate; a name that isn't in the roster has none.
     if inner.with(|roster| roster.get(from).is_none()) {
         return Err(Error::Stranger(from.clone()));
     }
@@ -46,7 +46,7 @@
     let rules = inner.current.version();
     let era = inner.store.eras().newest();
     inner.with(|roster| {
-        // The sender gets our digest with the answer, and compares.
+        // The sender receives this digest with the answer, and compares.
         roster.heartbeat_received(now, from, beat);
         roster.heartbeat(rules, era)
     })
@@ -54,7 +54,7 @@
 
 fn records(inner: &Inner, news: News) -> Answer {
     let mut records = news.records;
-    // What is outdated here goes no further.
+    // Records that are outdated here are not relayed.
     records.retain(|record| inner.merge(record));
     let seed = news.seed;
     if inner.passed.lock().news(seed) && !records.is_empty() {
@@ -83,7 +83,7 @@
 
 fn voted(inner: &Inner, from: &Instance, vote: Vote) -> Result<Answer, Error> {
     if vote.observer != *from {
-        let cause = "votes in the name of another";
+        let cause = "sent a vote with another instance as its observer";
         return Err(Error::Improper(from.clone(), cause));
     }
     let now = Instant::now();
