--- a/crates/feed/src/packed.rs
+++ b/crates/feed/src/packed.rs
@@ -1,4 +1,4 @@
-//! Documents, packed for the way from daemon to daemon.
+//! Documents in compressed form, as daemons send them to each other.
 
 use std::io::{Read, Write};
 
@@ -12,10 +12,10 @@
 
 use crate::Error;
 
-/// A document's text in DEFLATE.
+/// The text of a document, compressed with DEFLATE.
 ///
-/// Rules repeat their field names and services, and links of 10 Mbit/s and less are common beside
-/// targets.
+/// Rules repeat field names and services and so compress well, and links of 10 Mbit/s and less are
+/// common beside targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Bytes", into = "Bytes")]
 pub struct Packed {
@@ -37,11 +37,11 @@
 }
 
 impl Packed {
-    /// Packs a text.
+    /// Compresses a text.
     ///
     /// # Errors
     ///
-    /// [`Error::Packed`], which a writer into memory does not give.
+    /// [`Error::Packed`]; a writer into memory does not return it.
     pub fn of(text: &str) -> Result<Packed, Error> {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         let written = encoder.write_all(text.as_bytes());
@@ -49,11 +49,13 @@
         Ok(Packed::from(Bytes::from(packed.map_err(Error::Packed)?)))
     }
 
-    /// The text, which has at most [`Document::MAX_TEXT`] bytes whatever a peer has sent.
+    /// Decompresses the text, reading at most [`Document::MAX_TEXT`] bytes and one more whatever a
+    /// peer has sent.
     ///
     /// # Errors
     ///
-    /// [`Error::Packed`] if the bytes are no packed text, [`Error::Long`] if it is longer.
+    /// [`Error::Packed`] if the bytes are not compressed UTF-8 text, [`Error::Long`] if the text is
+    /// longer than that limit.
     pub fn text(&self) -> Result<String, Error> {
         let mut text = String::new();
         let bound = Document::MAX_TEXT as u64 + 1;
@@ -67,12 +69,12 @@
         Ok(text)
     }
 
-    /// The packed bytes.
+    /// The compressed bytes.
     pub fn bytes(&self) -> &Bytes {
         &self.bytes
     }
 
-    /// The digest of the packed bytes.
+    /// The digest of the compressed bytes.
     pub fn digest(&self) -> Digest {
         self.digest
     }
