--- a/crates/feed/src/pulse.rs
+++ b/crates/feed/src/pulse.rs
@@ -1,4 +1,4 @@
-//! Beats, and the reviews and votes that follow from their absence.
+//! Sends heartbeats, and reviews and votes on instances whose heartbeats are missing.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 use crate::message::{Answer, Message};
 use crate::{Error, carry, fetch};
 
-/// The time between two reviews.
+/// Interval between two reviews.
 const REVIEW: Duration = Duration::from_secs(1);
-/// How often a daemon that knows nobody looks whether it does.
+/// Interval at which a daemon that knows no others checks again.
 const ALONE: Duration = Duration::from_millis(100);
 
-/// Beats to the observers of this instance, for ever.
+/// Sends heartbeats to the observers of this instance. Never returns.
 pub(crate) async fn beats(inner: Arc<Inner>) {
     while inner.with(|roster| roster.heartbeat_receivers().is_empty()) {
         sleep(ALONE).await;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Reviews the roster each second, for ever.
+/// Reviews the roster each second. Never returns.
 pub(crate) async fn reviews(inner: Arc<Inner>) {
     loop {
         sleep(REVIEW).await;
@@ -49,22 +49,22 @@
     }
 }
 
-/// Tells the observers of an instance a vote on it.
+/// Sends a vote on an instance to that instance's observers.
 pub(crate) async fn vote(inner: &Inner, vote: Vote) {
     let observers = inner.with(|roster| roster.observers(&vote.about));
     let others = observers.iter().filter(|name| **name != vote.observer);
     let message = Message::Vote(vote.clone());
     let sends = others.map(|observer| inner.ask(observer, &message));
     for failed in join_all(sends).await.into_iter().filter_map(Result::err) {
-        log::debug!("feed: vote: {failed}.");
+        log::debug!("feed: vote not delivered: {failed}.");
     }
 }
 
-/// Beats to one daemon, and catches up with what it holds.
+/// Sends a heartbeat to one daemon, and synchronizes with what it holds.
 pub(crate) async fn probe(inner: &Inner, to: &Instance) {
     match beat(inner, to).await {
         Ok(theirs) => heed(inner, to, &theirs),
-        Err(error) => log::debug!("feed: beat: {error}."),
+        Err(error) => log::debug!("feed: heartbeat failed: {error}."),
     }
 }
 
@@ -78,17 +78,17 @@
     }
 }
 
-/// Takes in the era of the store that a beat names.
+/// Takes over the store era that a heartbeat names.
 pub(crate) fn learn(inner: &Inner, beat: &Beat) {
     if let Some(era) = beat.era {
         inner.store.eras().learn(era);
     }
 }
 
-/// Follows up what the answer to a beat says.
+/// Starts what follows from the answer to a heartbeat.
 ///
-/// A live instance that was removed by mistake learns of it here: the digests differ, and the
-/// comparison brings the record that says so.
+/// This is how a live instance that was removed by mistake learns of its removal: the digests
+/// differ, and the comparison brings the record that marks it as removed.
 fn heed(inner: &Inner, from: &Instance, theirs: &Beat) {
     let now = Instant::now();
     let differs = inner.with(|roster| roster.heartbeat_received(now, from, theirs));
