--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,14 +1,14 @@
-//! How rules and roster reach every daemon.
+//! Distributes rules and roster to every daemon.
 //!
-//! A [`Feed`] does one daemon's part. Three daemons of each zone watch the platform; what they
-//! read goes down a fan-out tree to the rest of the zone. Beats carry the digest of the roster and
-//! the version of the rules, so that a daemon that the tree has missed finds out within seconds
-//! and fetches what it lacks from a neighbour. Only one that hears nothing at all asks the
-//! platform. How messages are carried is a closure ([`Carrier`]): links in a daemon ([`over`]),
-//! memory in tests.
+//! A [`Feed`] is the part of one daemon. Three daemons of each zone watch the platform and relay
+//! what they read down a fan-out tree to the rest of the zone. Heartbeats carry the digest of the
+//! roster and the version of the rules, so that a daemon that the tree has missed detects this
+//! within seconds and fetches what it lacks from a neighbour. Only a daemon that receives nothing
+//! at all reads from the platform. Messages are carried by a closure ([`Carrier`]): over links in a
+//! daemon ([`over`]), in memory in tests.
 //!
-//! [`Current`] holds the rules in force: versions only rise, and a document that does not parse
-//! never replaces one that does.
+//! [`Current`] holds the rules in force. Their version never decreases, and a document that does
+//! not parse never replaces one that does.
 //!
 //! ```
 //! use feed::Current;
