--- a/crates/feed/src/builder.rs
+++ b/crates/feed/src/builder.rs
@@ -1,4 +1,4 @@
-//! How a [`Feed`] is set up.
+//! Sets up a [`Feed`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,14 +20,14 @@
 use crate::stats::Stats;
 use crate::{Current, Error};
 
-/// Calls on the store that one daemon may make each second for rules and roster. The two waiting
-/// watches of a watcher hold one call a second each.
+/// Maximum rate of calls to the store that one daemon makes for rules and roster. The two pending
+/// watches of a watcher count as one call per second each.
 const CALLS: Rate = Rate::of(8.0);
 const BURST: u32 = 20;
-/// Work that may wait to be begun. What is over it is dropped, and found again by beats.
+/// Maximum number of queued jobs. Further ones are dropped; heartbeats detect what was missed.
 const JOBS: usize = 4_096;
 
-/// Builds a [`Feed`]; the prefix and the key have the defaults of the settings.
+/// Builds a [`Feed`]; the prefix and the key have the same defaults as the settings.
 pub struct Builder {
     store: Store,
     roster: Arc<Shared>,
@@ -43,24 +43,24 @@
     standing: bool,
 }
 
-/// How long a feed waits at the platform.
+/// How long a feed waits for the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pace {
-    /// How long a watch on the announcements waits.
+    /// Maximum wait of one watch call on the announcements.
     pub instances: Duration,
-    /// How long a watch on the rules waits.
+    /// Maximum wait of one watch call on the rules.
     ///
-    /// A watch may go silent without an error. It is then given up after its wait and the time-out
-    /// of a call (1 s), and the rules are read. With 3 s rules come within the five seconds that
-    /// operators are promised even if the watches of all watchers go silent together. A store
-    /// whose connections are probed can be left waiting for longer.
+    /// A watch may become unresponsive without an error. It is then given up after this wait plus
+    /// the timeout of a call (1 s), and the rules are read. With 3 s, rules arrive within the five
+    /// seconds promised to operators even if the watches of all watchers become unresponsive
+    /// together. For a store whose connections are probed the wait may be longer.
     pub rules: Duration,
-    /// How long a watch on the announcements pauses behind each answer, so that changes in a row cost
-    /// one call. Those that start or leave tell the others by links meanwhile.
+    /// Pause of a watch on the announcements after each answer, so that changes in quick succession
+    /// cost one call. Instances that start or leave notify the others over links meanwhile.
     pub gather: Duration,
-    /// The same for the watch on the rules, which no link tells before it.
+    /// The same for the watch on the rules, which are not sent over links before it reports them.
     pub gather_rules: Duration,
-    /// The longest pause between two tries while the platform can't be reached.
+    /// Maximum pause between two attempts while the platform is unreachable.
     pub pause: Duration,
 }
 
@@ -96,64 +96,66 @@
         }
     }
 
-    /// What carries messages to other daemons; see [`over`](crate::over).
+    /// Sets how messages are carried to other daemons; see [`over`](crate::over). By default none
+    /// can be reached.
     pub fn carrier(mut self, carrier: Carrier) -> Builder {
         self.carrier = carrier;
         self
     }
 
-    /// What the keys of announcements begin with.
+    /// Sets the key prefix of announcements; default `instances/`.
     pub fn prefix(mut self, prefix: &str) -> Builder {
         self.prefix = prefix.to_string();
         self
     }
 
-    /// The key of the rules.
+    /// Sets the key of the rules; default `rules`.
     pub fn rules_key(mut self, key: &str) -> Builder {
         self.rules_key = key.to_string();
         self
     }
 
-    /// Called when readers of the roster may see a change, by one thread at a time. It must not
-    /// call back into the feed.
+    /// Sets a callback for when readers of the roster may see a change. Calls do not overlap. It
+    /// must not call back into the feed.
     pub fn changed(mut self, changed: impl Fn() + Send + Sync + 'static) -> Builder {
         self.changed = Box::new(changed);
         self
     }
 
-    /// Names the daemons with open links, which are told directly when this instance leaves.
+    /// Sets the source of the daemons with open links, which are notified directly when this
+    /// instance leaves.
     pub fn linked(mut self, linked: impl Fn() -> Vec<Instance> + Send + Sync + 'static) -> Builder {
         self.linked = Box::new(linked);
         self
     }
 
-    /// Counts the dials that met another certificate than the announced one.
+    /// Sets the counter of dials that met another certificate than the announced one.
     pub fn mistaken(mut self, mistaken: impl Fn() -> u64 + Send + Sync + 'static) -> Builder {
         self.mistaken = Box::new(mistaken);
         self
     }
 
-    /// How long the feed waits at the platform.
+    /// Sets how long the feed waits for the platform.
     pub fn pace(mut self, pace: Pace) -> Builder {
         self.pace = pace;
         self
     }
 
-    /// Whether announcements outlive a restart: what the store holds is where an instance is, and
-    /// which life it is in is told by links. A restart then costs no write, and each write costs
-    /// every watcher a call.
+    /// Sets whether announcements outlive a restart; default false. The store then only says where
+    /// an instance is, and links report which life it is in. This saves the write at a restart, and
+    /// each write costs every watcher a call.
     pub fn standing(mut self, standing: bool) -> Builder {
         self.standing = standing;
         self
     }
 
-    /// Seeds the jitter of waits.
+    /// Sets the seed of random waits; default 0.
     pub fn seed(mut self, seed: u64) -> Builder {
         self.seed = seed;
         self
     }
 
-    /// The feed; nothing happens before [`Feed::run`].
+    /// Builds the feed. It is inactive until [`Feed::run`] is called.
     pub fn build(self) -> Feed {
         let meter = Meter::new(CALLS, BURST);
         let (jobs, queue) = mpsc::channel(JOBS);
