--- a/crates/feed/src/carry.rs
+++ b/crates/feed/src/carry.rs
@@ -1,4 +1,4 @@
-//! How messages get from one daemon to another.
+//! Carries messages from one daemon to another.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -10,13 +10,13 @@
 
 use crate::Error;
 
-/// The future that a [`Carrier`] answers.
+/// The future that a [`Carrier`] returns.
 pub type Carried = Pin<Box<dyn Future<Output = Result<Bytes, Error>> + Send>>;
 
-/// Carries one packed message to one peer, and brings its answer.
+/// Carries one encoded message to one peer, and returns its answer.
 pub type Carrier = Arc<dyn Fn(Peer, Bytes) -> Carried + Send + Sync>;
 
-/// A carrier over the links of `dialer`.
+/// Returns a carrier over the links of `dialer`.
 pub fn over(dialer: Arc<Dialer>) -> Carrier {
     Arc::new(move |peer, payload| {
         let dialer = dialer.clone();
@@ -33,7 +33,7 @@
     Error::Improper(peer.clone(), "an answer of another kind")
 }
 
-/// Where the daemon of a record is reached.
+/// Returns the peer by which the daemon of a record is dialled.
 pub fn peer(record: &Record) -> Peer {
     Peer {
         instance: record.instance.clone(),
