--- a/crates/feed/src/count.rs
+++ b/crates/feed/src/count.rs
@@ -1,4 +1,4 @@
-//! Messages and bytes by kind, for the control budget.
+//! Counts messages and bytes by kind, to check them against the control budget.
 
 use std::collections::BTreeMap;
 
@@ -7,32 +7,31 @@
 
 use crate::message::Kind;
 
-/// Bytes that a message of one packet adds to its payload: 100 of QUIC, measured by the example
-/// `link`, and the headers of IP and UDP of the packet and of the acknowledgement that it draws.
+/// Bytes that a message of one packet adds to its payload: 100 of QUIC, as the example `link`
+/// measures them, and the IP and UDP headers of the packet and of its acknowledgement.
 pub const MESSAGE: u64 = 160;
-/// Bytes that each further packet adds, by the same measurement.
+/// Bytes that each further packet adds, measured in the same way.
 pub const PACKET: u64 = 90;
-/// Payload that fits in one packet.
+/// Payload in bytes that fits in one packet.
 const PAYLOAD: u64 = 1_200;
 
-/// The messages of one kind, answers included.
+/// The traffic of one kind of message, answers included.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Flow {
     /// Messages and answers sent.
     pub sent: u64,
-    /// Their payload in bytes.
+    /// Payload bytes sent.
     pub sent_bytes: u64,
     /// Messages and answers received.
     pub received: u64,
-    /// Their payload in bytes.
+    /// Payload bytes received.
     pub received_bytes: u64,
-    /// Payload, [`MESSAGE`] and [`PACKET`], both ways; without handshakes.
+    /// Payload bytes with [`MESSAGE`] and [`PACKET`] overhead, both ways; without handshakes.
     pub network_bytes: u64,
-    /// Messages that got no answer.
+    /// Messages without an answer.
     pub failed: u64,
 }
 
-/// Counts by kind.
 #[derive(Debug, Default)]
 pub(crate) struct Count {
     flows: Mutex<BTreeMap<Kind, Flow>>,
@@ -59,7 +58,7 @@
         self.add(kind, |flow| flow.failed += 1);
     }
 
-    /// How many messages and answers have come.
+    /// The number of messages and answers received, of all kinds.
     pub(crate) fn received_in_all(&self) -> u64 {
         self.flows.lock().values().map(|flow| flow.received).sum()
     }
