--- a/crates/feed/src/current.rs
+++ b/crates/feed/src/current.rs
@@ -8,77 +8,80 @@
 
 use crate::{Error, Packed};
 
-/// Rules with their version.
+/// Rules and their version.
 #[derive(Debug, Clone)]
 pub struct Rules {
-    /// The version of the object that holds them.
+    /// The version of the store object that holds them.
     pub version: Version,
-    /// The rules.
+    /// The parsed rules.
     pub document: Arc<Document>,
-    /// What daemons pass on to each other.
+    /// The packed text that daemons send to each other.
     packed: Arc<OnceLock<Option<Packed>>>,
 }
 
 impl Rules {
-    /// The packed text, which is made when it is first asked for; `None` if it can't be packed.
+    /// Returns the packed text, packing it on first use; `None` if it can't be packed.
     pub(crate) fn packed(&self) -> Option<Packed> {
         let pack = || {
             let packed = Packed::of(self.document.text());
             packed
-                .inspect_err(|error| log::error!("feed: rules {}: {error}.", self.version))
+                .inspect_err(|error| {
+                    log::error!("feed: rules {} can't be packed: {error}.", self.version)
+                })
                 .ok()
         };
         self.packed.get_or_init(pack).clone()
     }
 }
 
-/// The rules in force; they are read on every request and written a few times a minute.
+/// The rules in force. They are read on every request and written a few times a minute.
 #[derive(Debug, Default)]
 pub struct Current {
     rules: RwLock<Option<Rules>>,
-    /// The newest version that did not parse, so that it is reported and fetched once.
+    /// The newest version that did not parse, so that it is logged and fetched only once.
     bad: RwLock<Version>,
 }
 
-/// What became of rules that were offered.
+/// The result of offering rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer {
-    /// They are in force now.
+    /// The offered rules are now in force.
     Taken,
-    /// Newer ones are in force already, or the same.
+    /// The same or newer rules were already in force.
     Old,
 }
 
 impl Current {
-    /// The rules in force; `None` before the first have come.
+    /// The rules in force; `None` before the first have arrived.
     pub fn get(&self) -> Option<Rules> {
         self.rules.read().clone()
     }
 
-    /// The version in force; 0 before the first.
+    /// The version of the rules in force; 0 before the first.
     pub fn version(&self) -> Version {
         let rules = self.rules.read();
         rules.as_ref().map_or(Version::NONE, |rules| rules.version)
     }
 
-    /// Whether `version` is worth fetching: newer than what is in force, and not yet refused.
+    /// Whether `version` should be fetched: it is newer than the rules in force and was not
+    /// refused.
     pub fn wants(&self, version: Version) -> bool {
         version > self.version() && version != *self.bad.read()
     }
 
-    /// Puts `text` in force if `version` is newer than what is.
+    /// Puts `text` in force if `version` is newer than that of the rules in force.
     ///
-    /// A relay or a slow store may offer an old version at any time: it is passed over, or an
-    /// accepted change would revert.
+    /// A relay or a slow store may offer an old version at any time. It is ignored, as it would
+    /// revert an accepted change.
     ///
     /// # Errors
     ///
-    /// [`Error::Rules`] if the text does not parse; what is in force stays.
+    /// [`Error::Rules`] if the text does not parse; the rules in force stay.
     pub fn offer(&self, version: Version, text: &str) -> Result<Offer, Error> {
         self.offer_packed(version, text, None)
     }
 
-    /// The same, with the packed form in which the text has come.
+    /// Like [`Current::offer`], with the packed form in which the text was received.
     pub(crate) fn offer_packed(
         &self,
         version: Version,
@@ -95,7 +98,7 @@
             packed: Arc::new(packed.map_or_else(OnceLock::new, |packed| Some(packed).into())),
         };
         let mut current = self.rules.write();
-        // Another thread may have offered a newer one while this one was parsed.
+        // Another thread may have offered newer rules while these were parsed.
         if current
             .as_ref()
             .is_some_and(|known| known.version >= version)
