--- a/crates/feed/src/era.rs
+++ b/crates/feed/src/era.rs
@@ -1,7 +1,8 @@
-//! What a daemon does when the store has come back from an older copy of itself.
+//! Handles the restoration of the store from an older copy.
 //!
-//! The watchers read all again ([`watch`](crate::watch)). Here each daemon doubts that its own entry
-//! is still there, and the roster holds nothing that the store lacks against anybody.
+//! The watchers read everything again ([`watch`](crate::watch)). Here each daemon checks whether
+//! its own entry still exists, and the roster does not treat an instance as gone for being missing
+//! from the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,22 +12,22 @@
 
 use crate::feed::Inner;
 
-/// How long after a return the store may lack what is written again.
+/// Time after a restoration during which the store may lack entries that are yet to be rewritten.
 const SETTLED: Duration = Duration::from_secs(10);
 
-/// An entry that was written within this time before a return is most likely lost.
+/// An entry written within this time before a restoration is most likely lost.
 const RECENT: Duration = Duration::from_secs(10);
 
 /// What is known of the own object in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Held {
-    /// There is none, or its version is not known.
+    /// It does not exist, or its version is not known.
     Nothing,
-    /// It is as it was written or read here.
+    /// It was last written or read here at this version.
     At { version: Version, since: Instant },
-    /// The store has come back from a copy that most likely lacks it.
+    /// The store was restored from a copy that most likely lacks it.
     Lost,
-    /// The store has come back from a copy, which may hold another one or none.
+    /// The store was restored from a copy that may hold another version of it or none.
     Unknown,
 }
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// Follows the eras of the store, for ever. The first one is no return.
+/// Follows the eras of the store. The first one is not a restoration. Never returns.
 pub(crate) async fn run(inner: Arc<Inner>) {
     let eras = inner.store.eras();
     let mut known = eras.after(None).await;
@@ -56,7 +57,7 @@
     inner.stats.rollbacks.inc();
     let mut object = inner.object.lock().await;
     let is_recent = matches!(*object, Held::At { since, .. } if since + RECENT > now);
-    // One that is most likely lost is written without a look, which costs one call in place of two.
+    // An object that is most likely lost is written without reading it first, which saves a call.
     *object = if is_recent { Held::Lost } else { Held::Unknown };
     inner.with(|roster| roster.store_rolled_back(now));
     let watches = inner.with(|roster| roster.is_watcher());
@@ -67,7 +68,7 @@
     );
 }
 
-/// Waits until what was written before a return has had the time to be written again.
+/// Waits until entries lost in a restoration have had time to be rewritten.
 pub(crate) async fn settled(inner: &Inner) {
     loop {
         let since = *inner.rolled_back.lock();
