--- a/crates/feed/src/error.rs
+++ b/crates/feed/src/error.rs
@@ -1,13 +1,13 @@
-//! Why rules, announcements or messages did not come through.
+//! Errors of reading and distributing rules and announcements.
 
 use quick_error::quick_error;
 use unit::{Instance, Version};
 
 quick_error! {
-    /// A failure of the roles that carry rules and roster.
+    /// An error of reading or distributing rules and roster.
     #[derive(Debug)]
     pub enum Error {
-        /// The rules of this version don't parse; the last good ones stay in force.
+        /// The rules of this version don't parse; the last valid ones stay in force.
         Rules(version: Version, cause: rule::Error) {
             display("rules {version}: {cause}")
             source(cause)
@@ -18,34 +18,34 @@
             source(cause)
             from()
         }
-        /// An object of the store is not what its key promises.
+        /// An object of the store does not match its key or can't be encoded.
         Object(key: String, cause: String) {
             display("object {key}: {cause}")
         }
-        /// A message could not be carried, packed or read.
+        /// A message could not be carried, encoded or decoded.
         Wire(cause: wire::Error) {
             display("{cause}")
             source(cause)
             from()
         }
-        /// The bytes are no packed document.
+        /// The bytes are not a packed document.
         Packed(cause: std::io::Error) {
-            display("no packed rules: {cause}")
+            display("can't unpack rules: {cause}")
             source(cause)
         }
-        /// A packed document is longer than any may be.
+        /// The unpacked text is longer than any document may be.
         Long {
-            display("packed rules are longer than {} bytes", rule::Document::MAX_TEXT)
+            display("unpacked rules are longer than {} bytes", rule::Document::MAX_TEXT)
         }
-        /// The instance gave no answer in time.
+        /// The instance did not answer in time.
         Silent(peer: Instance) {
-            display("{peer} gave no answer")
+            display("{peer} did not answer in time")
         }
-        /// No address is known for the instance, or it is not announced here.
+        /// The instance is not announced here, or no address is known for it.
         Stranger(peer: Instance) {
-            display("{peer} is not known here")
+            display("{peer} is not in the roster")
         }
-        /// The instance said what is not its to say, or gave an answer of another kind.
+        /// The instance sent what it may not send, or an answer of another kind.
         Improper(peer: Instance, cause: &'static str) {
             display("{peer}: {cause}")
         }
