--- a/crates/feed/src/fallback.rs
+++ b/crates/feed/src/fallback.rs
@@ -1,4 +1,4 @@
-//! What a daemon does that no news reaches.
+//! Reads from neighbours and the platform when no updates arrive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 use crate::platform::{self, Role};
 use crate::{Error, pulse};
 
-/// How often a daemon looks whether it has heard anything.
+/// Interval of the checks whether updates have arrived.
 const LOOK: Duration = Duration::from_millis(500);
 
-/// How long a daemon may hear nobody before it lists once more, if that is likely to help.
+/// Time without any message after which a daemon lists again, if that is likely to help.
 const DEAF: Duration = Duration::from_secs(1);
 
-/// The wait doubles up to this while it doesn't help.
+/// Maximum of that time, which doubles as long as listing does not help.
 const DEAF_LONGEST: Duration = Duration::from_secs(16);
 
-/// Asks neighbours and then the platform whenever nothing has come for too long.
+/// Asks neighbours and then the platform whenever no update has arrived for too long.
 pub(crate) async fn run(inner: Arc<Inner>) {
     tokio::join!(hear(&inner), ask(&inner));
 }
@@ -33,7 +33,9 @@
             Some(Ask::Peer(peer)) => pulse::probe(inner, &peer).await,
             Some(Ask::Platform) => {
                 if let Err(error) = read(inner).await {
-                    log::warn!("feed: cut off from all others, and {error}.");
+                    log::warn!(
+                        "feed: no neighbour answers, and reading the platform failed: {error}."
+                    );
                 }
             }
             None => (),
@@ -41,13 +43,13 @@
     }
 }
 
-/// Lists once more where nobody is heard, and what is known of the others is likely to be old.
+/// Lists again if no messages arrive and the known announcements are probably outdated.
 ///
-/// Where all daemons start at once, a listing may show the others' former lives. Their new
-/// certificates are refused then, by those who dial and by those who are dialled, and no news comes
-/// through until the daemon falls back on the platform, long after a change should be in force. The
-/// signs are that nobody was heard since the start, and at any time that dials meet certificates
-/// which aren't the announced ones. While anybody is heard nothing is read: news comes that way.
+/// If all daemons start at once, a listing may show the others' former lives. Their new
+/// certificates are then refused in both directions, and no updates arrive until the daemon falls
+/// back on the platform, long after a change should be in force. The signs are that no message has
+/// arrived since the start or, at any time, that dials meet certificates other than the announced
+/// ones. While messages arrive nothing is read, as updates come with them.
 async fn hear(inner: &Inner) {
     inner.listed.cancelled().await;
     let mut wait = DEAF;
@@ -64,9 +66,9 @@
             wait = DEAF;
             continue;
         }
-        log::info!("feed: nobody is heard, and others may have started anew; reads once more.");
+        log::info!("feed: no messages received and others may have restarted, listing again.");
         if let Err(error) = read(inner).await {
-            log::warn!("feed: not read once more: {error}.");
+            log::warn!("feed: listing again failed: {error}.");
         }
         wait = (wait * 2).min(DEAF_LONGEST);
     }
