--- a/crates/feed/src/announce.rs
+++ b/crates/feed/src/announce.rs
@@ -1,4 +1,4 @@
-//! The own announcement: told to the daemons, and written to the store.
+//! Sends the own announcement to the other daemons, and writes it to the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use crate::platform;
 use crate::{Error, relay};
 
-/// How often a daemon looks whether something is due.
+/// Interval of the checks whether an announcement or write is due.
 const LOOK: Duration = Duration::from_millis(200);
-/// The pauses between failed writes.
+/// Initial pause between failed writes.
 const PAUSE: Duration = Duration::from_millis(200);
 const LONGEST_PAUSE: Duration = Duration::from_secs(10);
 
-/// Tells of the own record whenever it has changed, for ever.
+/// Announces the own record whenever it has changed. Never returns.
 pub(crate) async fn run(inner: Arc<Inner>) {
     let told = tell(&inner);
     let written = keep(&inner);
@@ -28,7 +28,7 @@
 
 async fn tell(inner: &Inner) {
     loop {
-        // The record is given once; before anybody is known it would be lost.
+        // The roster hands out the record once; it would be lost if no other instance is known yet.
         let own = inner.with(|roster| {
             let known = roster.peers().next().is_some();
             if known {
@@ -47,7 +47,7 @@
 
 async fn keep(inner: &Inner) {
     if inner.standing {
-        // The announcement of a former life may stand, and then there is nothing to write.
+        // If the announcement of a former life is still there, nothing needs to be written.
         inner.listed.cancelled().await;
     }
     let seed = inner.jitter(PAUSE).as_nanos() as u64;
@@ -59,14 +59,14 @@
                 sleep(LOOK).await;
             }
             Err(error) => {
-                log::warn!("feed: not announced: {error}.");
+                log::warn!("feed: own announcement not written: {error}.");
                 sleep(backoff.pause()).await;
             }
         }
     }
 }
 
-/// Writes the own record if the roster says that it is due.
+/// Writes the own record if the roster reports that a write is due.
 pub(crate) async fn write_due(inner: &Inner) -> Result<(), Error> {
     let mut object = inner.object.lock().await;
     let due = inner.with(|roster| roster.due_write(Instant::now()));
@@ -79,10 +79,10 @@
     Ok(())
 }
 
-/// Writes a record over the version that is known; false if it has to be tried again.
+/// Writes a record over the last known version. Returns false if the write must be repeated.
 ///
-/// The write names what it replaces. So a copy that was delayed on its way can't land on top of a
-/// later one, and two processes under one name find each other out.
+/// The write is conditional on the version that it replaces. A write that was delayed in transit
+/// thus can't overwrite a later one, and two processes with the same name detect each other.
 async fn write(inner: &Inner, object: &mut Held, record: &Record) -> Result<bool, Error> {
     if *object == Held::Unknown {
         if read_back(inner, object, record).await? {
@@ -114,7 +114,7 @@
     }
 }
 
-/// Finds out what stands in the store: this record after all, an earlier life, or another's.
+/// Reads which record the store holds: this one after all, that of an earlier life, or another's.
 async fn read_back(inner: &Inner, object: &mut Held, record: &Record) -> Result<bool, Error> {
     let found = inner.store.get(&inner.key(&record.instance)).await?;
     *object = found
@@ -126,12 +126,12 @@
     if found == *record {
         return Ok(true);
     }
-    // A later life of this name makes the roster refute it, or give way to it.
+    // A later life of this name makes the roster either refute it or give way to it.
     inner.merge(&found);
     Ok(false)
 }
 
-/// Deletes the own object, if it is still the one that this process wrote.
+/// Deletes the own object if it is still the one that this process wrote.
 pub(crate) async fn delete(inner: &Inner, record: &Record) -> Result<(), Error> {
     let mut object = inner.object.lock().await;
     let key = inner.key(&record.instance);
