--- a/crates/feed/src/job.rs
+++ b/crates/feed/src/job.rs
@@ -1,4 +1,4 @@
-//! Work that a message or a loop leaves to the run.
+//! Work that messages and loops queue for the run.
 
 use std::sync::Arc;
 
@@ -10,24 +10,24 @@
 use crate::repair::Stale;
 use crate::{fetch, pulse, relay, repair, rules, sync};
 
-/// One piece of work.
+/// A piece of queued work.
 #[derive(Debug)]
 pub(crate) enum Job {
-    /// Pass records on to the children in the tree.
+    /// Relay updated records to the children in the tree.
     Pass(News),
-    /// Tell all zones, and the instances themselves, of removals.
+    /// Send removals to all zones and to the removed instances.
     Removed(Vec<Record>),
-    /// Pass the rules in force on to the children in the tree.
+    /// Relay the rules in force to the children in the tree.
     Push(Version),
     /// Fetch the newest rules from the daemons that have them.
     Fetch,
-    /// Beat to a daemon, and catch up with it.
+    /// Send a heartbeat to a daemon, and synchronize with it.
     Probe(Instance),
-    /// Tell the observers a vote.
+    /// Send a vote to the observers of its subject.
     Vote(Vote),
-    /// Compare rosters with a daemon whose digest was this.
+    /// Compare rosters with a daemon that reported this digest.
     Sync(Instance, u64),
-    /// Write objects again that the store has lost.
+    /// Rewrite objects that the store has lost.
     Restore(Vec<Record>),
     /// Delete objects of instances that are gone.
     Sweep(Vec<Stale>),
