--- a/crates/feed/src/leave.rs
+++ b/crates/feed/src/leave.rs
@@ -1,4 +1,4 @@
-//! The end of an instance, told to the daemons directly and then to the store.
+//! Announces the end of an instance to the other daemons and then to the store.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 use crate::feed::Inner;
 use crate::{announce, relay};
 
-/// How long the daemons may take, and then the store.
+/// Maximum time for notifying the daemons, and again for the write to the store.
 const GOODBYE: Duration = Duration::from_secs(2);
-/// The pause before a failed write is tried again.
+/// Pause before a failed write is repeated.
 const AGAIN: Duration = Duration::from_millis(100);
 
 pub(crate) async fn leave(inner: &Inner) {
@@ -21,16 +21,16 @@
     }
     let written = async {
         while let Err(error) = announce::write_due(inner).await {
-            log::warn!("feed: the store is not told of the stop: {error}.");
+            log::warn!("feed: stop not written to the store: {error}.");
             sleep(AGAIN).await;
         }
     };
-    // The daemons know it; a store that is down must not hold up the stop.
+    // The daemons have been notified; an unreachable store must not delay the stop.
     drop(timeout(GOODBYE, written).await);
 }
 
-/// Tells the others that this process ends. Its announcement is deleted unless it stands for the
-/// next life of this instance, which is about to begin.
+/// Notifies the others that this process ends. Its announcement is deleted unless it is kept for
+/// the instance's next life, which is about to begin.
 pub(crate) async fn depart(inner: &Inner, returns: bool) {
     let record = change(inner, |roster| roster.depart(Instant::now()));
     tell(inner, &record).await;
@@ -39,12 +39,12 @@
     }
     match timeout(GOODBYE, announce::delete(inner, &record)).await {
         Ok(Ok(())) => (),
-        Ok(Err(error)) => log::warn!("feed: the own object stays: {error}."),
-        Err(_) => log::warn!("feed: the own object stays: no answer in time."),
+        Ok(Err(error)) => log::warn!("feed: own object not deleted: {error}."),
+        Err(_) => log::warn!("feed: own object not deleted: no answer in time."),
     }
 }
 
-/// Changes the own record, which is then told here and not once more by the run.
+/// Changes the own record and takes it, so that it is sent from here and not also by the run.
 fn change(inner: &Inner, with: impl FnOnce(&mut Roster)) -> Record {
     inner.with(|roster| {
         with(roster);
@@ -61,6 +61,8 @@
     others.retain(|other| other != me);
     let told = relay::spread(inner, vec![record.clone()], &others);
     if timeout(GOODBYE, told).await.is_err() {
-        log::warn!("feed: some daemons are not told of the stop; their zones will be.");
+        log::warn!(
+            "feed: some daemons not notified of the stop, relying on relays in their zones."
+        );
     }
 }
