--- a/crates/feed/src/repair.rs
+++ b/crates/feed/src/repair.rs
@@ -1,4 +1,4 @@
-//! Objects of others that a watcher writes again or deletes.
+//! Rewrites or deletes objects of other instances, as a watcher.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 use crate::feed::Inner;
 use crate::{Error, era, platform};
 
-/// The time between two writes for others: at most 6 a second from the three watchers of a zone.
+/// Pause between two writes for others: at most 6 a second from the three watchers of a zone.
 const GAP: Duration = Duration::from_millis(500);
-/// Over what time the watchers' beginnings are spread, so that the first may do it alone.
+/// Period over which the watchers' starts are spread, so that the first may do the work alone.
 const SPREAD: Duration = Duration::from_secs(10);
 
 /// An object of an instance that is gone.
@@ -21,11 +21,11 @@
 pub(crate) struct Stale {
     /// Its key.
     pub(crate) key: String,
-    /// The version at which it was found.
+    /// The version at which it was read.
     pub(crate) version: Version,
 }
 
-/// Writes objects again that the store has lost, only where none is.
+/// Rewrites objects that the store has lost, unless the key exists again.
 pub(crate) async fn restore(inner: &Inner, records: Vec<Record>) {
     sleep(inner.jitter(SPREAD)).await;
     let _repairing = inner.repairing.lock().await;
@@ -46,7 +46,7 @@
     held.is_some_and(|held| held == *record && held.state == State::Live)
 }
 
-/// Whether the instance of an object is still held for gone.
+/// Whether the instance of an object is still considered gone.
 fn is_gone(inner: &Inner, key: &str) -> bool {
     let name = platform::name(inner, key);
     let held = name.and_then(|name| inner.with(|roster| roster.get(&name).cloned()));
@@ -58,14 +58,14 @@
     let json = serde_json::to_vec(record).map_err(|e| Error::Object(key.clone(), e.to_string()))?;
     let written = inner.store.put(&key, Bytes::from(json), Condition::Absent);
     match written.await {
-        // Another watcher, or the instance itself, was first.
+        // Another watcher, or the instance itself, wrote it first.
         Err(error) if error.is_conflict() => Ok(()),
         Err(error) => Err(error.into()),
         Ok(_) => Ok(()),
     }
 }
 
-/// Deletes objects of instances that are gone, if they are still as they were found.
+/// Deletes objects of instances that are gone, if they are unchanged since they were read.
 pub(crate) async fn sweep(inner: &Inner, stale: Vec<Stale>) {
     era::settled(inner).await;
     sleep(inner.jitter(SPREAD)).await;
@@ -78,7 +78,7 @@
         if let Err(error) = deleted
             && !error.is_conflict()
         {
-            log::warn!("feed: objects not swept: {error}.");
+            log::warn!("feed: stale objects not deleted: {error}.");
             return;
         }
         sleep(GAP).await;
