--- a/crates/feed/src/stats.rs
+++ b/crates/feed/src/stats.rs
@@ -1,4 +1,4 @@
-//! What a feed measures for its operators.
+//! Metrics of a feed.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
@@ -6,19 +6,19 @@
 /// Histograms and counters of one feed; clones share them.
 #[derive(Debug, Clone)]
 pub struct Stats {
-    /// Seconds for which rules were fetched from another daemon.
+    /// Seconds that fetches of rules from another daemon took.
     pub fetched: Histogram,
-    /// Fetches of rules that failed.
+    /// Failed fetches of rules.
     pub fetches_failed: Counter,
-    /// Seconds that it took to read rules before they were in force.
+    /// Seconds from receiving rules to putting them in force.
     pub read: Histogram,
-    /// Times that the store has come back from an older copy.
+    /// Restorations of the store from an older copy.
     pub rollbacks: Counter,
-    /// Own entries that were written again after that.
+    /// Own entries rewritten after a restoration.
     pub rewritten: Counter,
 }
 
-/// Times from a millisecond to 8 s, doubled from bucket to bucket.
+/// A histogram with buckets from 1 ms to 8 s, each twice the previous one.
 fn times() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 14))
 }
