--- a/crates/feed/src/sync.rs
+++ b/crates/feed/src/sync.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: two daemons whose digests differ exchange what differs.
+//! Anti-entropy: two daemons with different roster digests exchange the records that differ.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::message::{Answer, LOT, Message, Page};
 use crate::{Error, carry};
 
-/// How long a difference must last. News that is on its way makes digests differ for moments, and
-/// each comparison costs 600 bytes and a bucket.
+/// How long a difference must last before rosters are compared. Updates in transit make digests
+/// differ for moments, and each comparison costs 600 bytes and a bucket.
 const SETTLE: Duration = Duration::from_millis(500);
 
-/// Compares with a daemon whose digest was `total`, one at a time.
+/// Compares rosters with a daemon that reported the digest `total`; one comparison at a time.
 pub(crate) async fn sync(inner: &Inner, with: &Instance, total: u64) {
     let Ok(_syncing) = inner.syncing.try_lock() else {
         return;
@@ -25,7 +25,7 @@
         return;
     }
     if let Err(error) = exchange(inner, with, summary).await {
-        log::debug!("feed: sync: {error}.");
+        log::debug!("feed: roster comparison failed: {error}.");
     }
 }
 
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-/// Merges a neighbour's pages, and collects what it lacks.
+/// Merges a neighbour's pages, and collects the records that it lacks.
 fn merge(inner: &Inner, pages: Vec<Page>) -> Vec<Record> {
     let now = Instant::now();
     inner.with(|roster| {
@@ -58,8 +58,8 @@
     })
 }
 
-/// The buckets that differ from a neighbour's, as many as fit in one answer. The rest follow with
-/// the next beat.
+/// Returns the buckets that differ from a neighbour's, as many as fit in one answer. The rest
+/// follow with the next heartbeat.
 pub(crate) fn pages(inner: &Inner, theirs: &Summary) -> Vec<Page> {
     inner.with(|roster| {
         let mut pages = Vec::new();
@@ -76,7 +76,7 @@
     })
 }
 
-/// Takes in what a neighbour says is lacking here, and answers with what outranks it.
+/// Merges records that a neighbour found lacking here, and returns those that supersede them.
 pub(crate) fn repair(inner: &Inner, records: Vec<Record>) -> Vec<Record> {
     let now = Instant::now();
     inner.with(|roster| {
