--- a/crates/feed/src/announce.rs
+++ b/crates/feed/src/announce.rs
@@ -8,25 +8,25 @@
 use store::{Backoff, Condition};
 use tokio::time::{Instant, sleep};
 
-use crate::era::Held;
+use crate::era::OwnObject;
 use crate::feed::Inner;
 use crate::platform;
 use crate::{Error, relay};
 
 /// Interval of the checks whether an announcement or write is due.
-const LOOK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Initial pause between failed writes.
-const PAUSE: Duration = Duration::from_millis(200);
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+const MIN_PAUSE: Duration = Duration::from_millis(200);
+const MAX_PAUSE: Duration = Duration::from_secs(10);
 
 /// Announces the own record whenever it has changed. Never returns.
 pub(crate) async fn run(inner: Arc<Inner>) {
-    let told = tell(&inner);
-    let written = keep(&inner);
-    tokio::join!(told, written);
+    let announced = announce(&inner);
+    let written = write_when_due(&inner);
+    tokio::join!(announced, written);
 }
 
-async fn tell(inner: &Inner) {
+async fn announce(inner: &Inner) {
     loop {
         // The roster hands out the record once; it would be lost if no other instance is known yet.
         let own = inner.with(|roster| {
@@ -39,24 +39,24 @@
         });
         if let Some(record) = own {
             let observers = inner.with(|roster| roster.heartbeat_receivers());
-            relay::spread(inner, vec![record], &observers).await;
+            relay::broadcast(inner, vec![record], &observers).await;
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-async fn keep(inner: &Inner) {
+async fn write_when_due(inner: &Inner) {
     if inner.standing {
         // If the announcement of a former life is still there, nothing needs to be written.
         inner.listed.cancelled().await;
     }
-    let seed = inner.jitter(PAUSE).as_nanos() as u64;
-    let mut backoff = Backoff::new(PAUSE, LONGEST_PAUSE, seed);
+    let seed = inner.jitter(MIN_PAUSE).as_nanos() as u64;
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE, seed);
     loop {
         match write_due(inner).await {
             Ok(()) => {
                 backoff.reset();
-                sleep(LOOK).await;
+                sleep(CHECK_INTERVAL).await;
             }
             Err(error) => {
                 log::warn!("feed: own announcement not written: {error}.");
@@ -83,25 +83,25 @@
 ///
 /// The write is conditional on the version that it replaces. A write that was delayed in transit
 /// thus can't overwrite a later one, and two processes with the same name detect each other.
-async fn write(inner: &Inner, object: &mut Held, record: &Record) -> Result<bool, Error> {
-    if *object == Held::Unknown {
+async fn write(inner: &Inner, object: &mut OwnObject, record: &Record) -> Result<bool, Error> {
+    if *object == OwnObject::Unknown {
         if read_back(inner, object, record).await? {
             return Ok(true);
         }
-        if *object == Held::Nothing {
-            *object = Held::Lost;
+        if *object == OwnObject::Nothing {
+            *object = OwnObject::Lost;
         }
     }
-    let is_lost = *object == Held::Lost;
+    let is_lost = *object == OwnObject::Lost;
     let key = inner.key(&record.instance);
     let json = serde_json::to_vec(record).map_err(|e| Error::Object(key.clone(), e.to_string()))?;
     let when = match *object {
-        Held::At { version, .. } => Condition::Match(version),
-        Held::Nothing | Held::Lost | Held::Unknown => Condition::Absent,
+        OwnObject::At { version, .. } => Condition::Match(version),
+        OwnObject::Nothing | OwnObject::Lost | OwnObject::Unknown => Condition::Absent,
     };
     match inner.store.put(&key, Bytes::from(json), when).await {
         Ok(version) => {
-            *object = Held::at(version);
+            *object = OwnObject::at(version);
             if is_lost {
                 inner.stats.rewritten.inc();
             }
@@ -115,11 +115,11 @@
 }
 
 /// Reads which record the store holds: this one after all, that of an earlier life, or another's.
-async fn read_back(inner: &Inner, object: &mut Held, record: &Record) -> Result<bool, Error> {
+async fn read_back(inner: &Inner, object: &mut OwnObject, record: &Record) -> Result<bool, Error> {
     let found = inner.store.get(&inner.key(&record.instance)).await?;
     *object = found
         .as_ref()
-        .map_or(Held::Nothing, |found| Held::at(found.version));
+        .map_or(OwnObject::Nothing, |found| OwnObject::at(found.version));
     let Some(found) = found.as_ref().and_then(platform::record) else {
         return Ok(false);
     };
@@ -136,13 +136,15 @@
     let mut object = inner.object.lock().await;
     let key = inner.key(&record.instance);
     let version = match *object {
-        Held::At { version, .. } => version,
-        Held::Nothing | Held::Lost | Held::Unknown => match inner.store.get(&key).await? {
-            Some(found) if is_own(&found, record) => found.version,
-            _ => return Ok(()),
-        },
+        OwnObject::At { version, .. } => version,
+        OwnObject::Nothing | OwnObject::Lost | OwnObject::Unknown => {
+            match inner.store.get(&key).await? {
+                Some(found) if is_own(&found, record) => found.version,
+                _ => return Ok(()),
+            }
+        }
     };
-    *object = Held::Nothing;
+    *object = OwnObject::Nothing;
     match inner.store.delete(&key, Condition::Match(version)).await {
         Err(error) if !error.is_conflict() => Err(error.into()),
         _ => Ok(()),
--- a/crates/feed/src/builder.rs
+++ b/crates/feed/src/builder.rs
@@ -12,20 +12,20 @@
 use tokio_util::sync::CancellationToken;
 use unit::{Instance, Rate};
 
-use crate::carry::Carrier;
+use crate::carrier::Carrier;
 use crate::count::Count;
-use crate::era::Held;
+use crate::era::OwnObject;
 use crate::feed::{Feed, Inner};
-use crate::relay::Passed;
+use crate::relay::Relayed;
 use crate::stats::Stats;
 use crate::{Current, Error};
 
 /// Maximum rate of calls to the store that one daemon makes for rules and roster. The two pending
 /// watches of a watcher count as one call per second each.
-const CALLS: Rate = Rate::of(8.0);
-const BURST: u32 = 20;
+const STORE_CALL_RATE: Rate = Rate::of(8.0);
+const STORE_CALL_BURST: u32 = 20;
 /// Maximum number of queued jobs. Further ones are dropped; heartbeats detect what was missed.
-const JOBS: usize = 4_096;
+const JOB_QUEUE_LEN: usize = 4_096;
 
 /// Builds a [`Feed`]; the prefix and the key have the same defaults as the settings.
 pub struct Builder {
@@ -78,13 +78,13 @@
 
 impl Builder {
     pub(crate) fn new(store: Store, roster: Arc<Shared>, current: Arc<Current>) -> Builder {
-        let nowhere: Carrier =
+        let unreachable: Carrier =
             Arc::new(|peer, _| Box::pin(async move { Err(Error::Stranger(peer.instance)) }));
         Builder {
             store,
             roster,
             current,
-            carrier: nowhere,
+            carrier: unreachable,
             prefix: "instances/".to_string(),
             rules_key: "rules".to_string(),
             changed: Box::new(|| ()),
@@ -157,8 +157,8 @@
 
     /// Builds the feed. It is inactive until [`Feed::run`] is called.
     pub fn build(self) -> Feed {
-        let meter = Meter::new(CALLS, BURST);
-        let (jobs, queue) = mpsc::channel(JOBS);
+        let meter = Meter::new(STORE_CALL_RATE, STORE_CALL_BURST);
+        let (jobs, queue) = mpsc::channel(JOB_QUEUE_LEN);
         let inner = Inner {
             store: meter.over(&self.store),
             meter,
@@ -176,8 +176,8 @@
             queue: Mutex::new(Some(queue)),
             count: Count::default(),
             stats: Stats::default(),
-            passed: Mutex::new(Passed::default()),
-            object: tokio::sync::Mutex::new(Held::Nothing),
+            relayed: Mutex::new(Relayed::default()),
+            object: tokio::sync::Mutex::new(OwnObject::Nothing),
             rolled_back: Mutex::default(),
             syncing: tokio::sync::Mutex::new(()),
             repairing: tokio::sync::Mutex::new(()),
--- a/crates/feed/src/carry.rs
+++ b/crates/feed/src/carrier.rs
@@ -29,7 +29,7 @@
     Ok(link.note(Topic::Feed, payload).await?)
 }
 
-pub(crate) fn improper(peer: &Instance) -> Error {
+pub(crate) fn unexpected_answer(peer: &Instance) -> Error {
     Error::Improper(peer.clone(), "an answer of another kind")
 }
 
--- a/crates/feed/src/count.rs
+++ b/crates/feed/src/count.rs
@@ -13,7 +13,7 @@
 /// Bytes that each further packet adds, measured in the same way.
 pub const PACKET: u64 = 90;
 /// Payload in bytes that fits in one packet.
-const PAYLOAD: u64 = 1_200;
+const PACKET_PAYLOAD: u64 = 1_200;
 
 /// The traffic of one kind of message, answers included.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
@@ -42,7 +42,7 @@
         self.add(kind, |flow| {
             flow.sent += 1;
             flow.sent_bytes += bytes as u64;
-            flow.network_bytes += network(bytes as u64);
+            flow.network_bytes += with_overhead(bytes as u64);
         });
     }
 
@@ -50,7 +50,7 @@
         self.add(kind, |flow| {
             flow.received += 1;
             flow.received_bytes += bytes as u64;
-            flow.network_bytes += network(bytes as u64);
+            flow.network_bytes += with_overhead(bytes as u64);
         });
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// The number of messages and answers received, of all kinds.
-    pub(crate) fn received_in_all(&self) -> u64 {
+    pub(crate) fn total_received(&self) -> u64 {
         self.flows.lock().values().map(|flow| flow.received).sum()
     }
 
@@ -72,6 +72,6 @@
     }
 }
 
-fn network(bytes: u64) -> u64 {
-    bytes + MESSAGE + bytes.saturating_sub(1) / PAYLOAD * PACKET
+fn with_overhead(bytes: u64) -> u64 {
+    bytes + MESSAGE + bytes.saturating_sub(1) / PACKET_PAYLOAD * PACKET
 }
--- a/crates/feed/src/current.rs
+++ b/crates/feed/src/current.rs
@@ -39,7 +39,7 @@
 pub struct Current {
     rules: RwLock<Option<Rules>>,
     /// The newest version that did not parse, so that it is logged and fetched only once.
-    bad: RwLock<Version>,
+    refused_version: RwLock<Version>,
 }
 
 /// The result of offering rules.
@@ -66,7 +66,7 @@
     /// Whether `version` should be fetched: it is newer than the rules in force and was not
     /// refused.
     pub fn wants(&self, version: Version) -> bool {
-        version > self.version() && version != *self.bad.read()
+        version > self.version() && version != *self.refused_version.read()
     }
 
     /// Puts `text` in force if `version` is newer than that of the rules in force.
@@ -110,9 +110,9 @@
     }
 
     fn refuse(&self, version: Version, cause: rule::Error) -> Error {
-        let mut bad = self.bad.write();
-        if *bad < version {
-            *bad = version;
+        let mut refused_version = self.refused_version.write();
+        if *refused_version < version {
+            *refused_version = version;
             log::error!("feed: rules {version} are refused: {cause}.");
         }
         Error::Rules(version, cause)
--- a/crates/feed/src/era.rs
+++ b/crates/feed/src/era.rs
@@ -13,14 +13,14 @@
 use crate::feed::Inner;
 
 /// Time after a restoration during which the store may lack entries that are yet to be rewritten.
-const SETTLED: Duration = Duration::from_secs(10);
+const REWRITE_WINDOW: Duration = Duration::from_secs(10);
 
 /// An entry written within this time before a restoration is most likely lost.
-const RECENT: Duration = Duration::from_secs(10);
+const LOSS_WINDOW: Duration = Duration::from_secs(10);
 
 /// What is known of the own object in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Held {
+pub(crate) enum OwnObject {
     /// It does not exist, or its version is not known.
     Nothing,
     /// It was last written or read here at this version.
@@ -31,9 +31,9 @@
     Unknown,
 }
 
-impl Held {
-    pub(crate) fn at(version: Version) -> Held {
-        Held::At {
+impl OwnObject {
+    pub(crate) fn at(version: Version) -> OwnObject {
+        OwnObject::At {
             version,
             since: Instant::now(),
         }
@@ -56,9 +56,13 @@
     *inner.rolled_back.lock() = Some(now);
     inner.stats.rollbacks.inc();
     let mut object = inner.object.lock().await;
-    let is_recent = matches!(*object, Held::At { since, .. } if since + RECENT > now);
+    let is_recent = matches!(*object, OwnObject::At { since, .. } if since + LOSS_WINDOW > now);
     // An object that is most likely lost is written without reading it first, which saves a call.
-    *object = if is_recent { Held::Lost } else { Held::Unknown };
+    *object = if is_recent {
+        OwnObject::Lost
+    } else {
+        OwnObject::Unknown
+    };
     inner.with(|roster| roster.store_rolled_back(now));
     let watches = inner.with(|roster| roster.is_watcher());
     log::warn!(
@@ -69,10 +73,10 @@
 }
 
 /// Waits until entries lost in a restoration have had time to be rewritten.
-pub(crate) async fn settled(inner: &Inner) {
+pub(crate) async fn wait_for_rewrites(inner: &Inner) {
     loop {
         let since = *inner.rolled_back.lock();
-        let until = since.map(|since| since + SETTLED);
+        let until = since.map(|since| since + REWRITE_WINDOW);
         match until.filter(|until| *until > Instant::now()) {
             Some(until) => sleep_until(until).await,
             None => return,
--- a/crates/feed/src/fallback.rs
+++ b/crates/feed/src/fallback.rs
@@ -9,28 +9,28 @@
 
 use crate::feed::Inner;
 use crate::platform::{self, Role};
-use crate::{Error, pulse};
+use crate::{Error, heartbeat};
 
 /// Interval of the checks whether updates have arrived.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time without any message after which a daemon lists again, if that is likely to help.
-const DEAF: Duration = Duration::from_secs(1);
+const RELIST_AFTER: Duration = Duration::from_secs(1);
 
 /// Maximum of that time, which doubles as long as listing does not help.
-const DEAF_LONGEST: Duration = Duration::from_secs(16);
+const MAX_RELIST_AFTER: Duration = Duration::from_secs(16);
 
 /// Asks neighbours and then the platform whenever no update has arrived for too long.
 pub(crate) async fn run(inner: Arc<Inner>) {
-    tokio::join!(hear(&inner), ask(&inner));
+    tokio::join!(relist(&inner), fall_back(&inner));
 }
 
-async fn ask(inner: &Inner) {
+async fn fall_back(inner: &Inner) {
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         let now = Instant::now();
         match inner.with(|roster| roster.fallback(now)) {
-            Some(Ask::Peer(peer)) => pulse::probe(inner, &peer).await,
+            Some(Ask::Peer(peer)) => heartbeat::probe(inner, &peer).await,
             Some(Ask::Platform) => {
                 if let Err(error) = read(inner).await {
                     log::warn!(
@@ -50,27 +50,27 @@
 /// back on the platform, long after a change should be in force. The signs are that no message has
 /// arrived since the start or, at any time, that dials meet certificates other than the announced
 /// ones. While messages arrive nothing is read, as updates come with them.
-async fn hear(inner: &Inner) {
+async fn relist(inner: &Inner) {
     inner.listed.cancelled().await;
-    let mut wait = DEAF;
+    let mut wait = RELIST_AFTER;
     let mut is_start = true;
-    let (mut received, mut mistaken) = (0, 0);
+    let (mut last_received, mut last_mistaken) = (0, 0);
     loop {
         sleep(wait + inner.jitter(wait)).await;
-        let (heard, met) = (inner.count.received_in_all(), (inner.mistaken)());
+        let (received, mistaken) = (inner.count.total_received(), (inner.mistaken)());
         let knows_others = inner.with(|roster| !roster.heartbeat_receivers().is_empty());
-        let is_deaf = knows_others && heard == received;
-        let is_stale = is_start || met > mistaken;
-        (is_start, received, mistaken) = (false, heard, met);
-        if !(is_deaf && is_stale) {
-            wait = DEAF;
+        let is_isolated = knows_others && received == last_received;
+        let is_stale = is_start || mistaken > last_mistaken;
+        (is_start, last_received, last_mistaken) = (false, received, mistaken);
+        if !(is_isolated && is_stale) {
+            wait = RELIST_AFTER;
             continue;
         }
         log::info!("feed: no messages received and others may have restarted, listing again.");
         if let Err(error) = read(inner).await {
             log::warn!("feed: listing again failed: {error}.");
         }
-        wait = (wait * 2).min(DEAF_LONGEST);
+        wait = (wait * 2).min(MAX_RELIST_AFTER);
     }
 }
 
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -18,18 +18,18 @@
 use unit::{Era, Instance, Version};
 
 use crate::builder::{Builder, Pace};
-use crate::carry::{self, Carrier};
+use crate::carrier::{self, Carrier};
 use crate::count::{Count, Flow};
-use crate::era::Held;
+use crate::era::OwnObject;
 use crate::fetch::Fetch;
 use crate::job::{self, Job};
 use crate::message::{Answer, Kind, Message};
-use crate::relay::Passed;
+use crate::relay::Relayed;
 use crate::stats::Stats;
-use crate::{Current, Error, announce, era, fallback, leave, note, pulse, watch};
+use crate::{Current, Error, announce, era, fallback, heartbeat, leave, note, watch};
 
 /// Maximum time to wait for an answer.
-pub(crate) const WAIT: Duration = Duration::from_secs(2);
+pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Distributes rules and roster for one daemon; clones share its state. See the [crate's
 /// page](crate).
@@ -57,9 +57,9 @@
     pub(crate) queue: Mutex<Option<mpsc::Receiver<Job>>>,
     pub(crate) count: Count,
     pub(crate) stats: Stats,
-    pub(crate) passed: Mutex<Passed>,
+    pub(crate) relayed: Mutex<Relayed>,
     /// The last known state of the own object in the store; locked while the object is written.
-    pub(crate) object: tokio::sync::Mutex<Held>,
+    pub(crate) object: tokio::sync::Mutex<OwnObject>,
     /// When the store was last found to have been restored from an older copy.
     pub(crate) rolled_back: Mutex<Option<Instant>>,
     /// Locked during a roster comparison; only one runs at a time.
@@ -111,8 +111,8 @@
         let mut tasks = JoinSet::new();
         tasks.spawn(watch::run(self.inner.clone()));
         tasks.spawn(announce::run(self.inner.clone()));
-        tasks.spawn(pulse::beats(self.inner.clone()));
-        tasks.spawn(pulse::reviews(self.inner.clone()));
+        tasks.spawn(heartbeat::send_loop(self.inner.clone()));
+        tasks.spawn(heartbeat::review_loop(self.inner.clone()));
         tasks.spawn(fallback::run(self.inner.clone()));
         tasks.spawn(era::run(self.inner.clone()));
         loop {
@@ -155,7 +155,7 @@
         self.inner.roster.mark_seen(now, &record.instance);
         let lacks = self.inner.current.version() == Version::NONE;
         if merged != roster::Merge::Old || lacks {
-            self.inner.later(Job::Probe(record.instance.clone()));
+            self.inner.enqueue(Job::Probe(record.instance.clone()));
         }
     }
 
@@ -224,14 +224,14 @@
 
     /// Queues a job for [`Feed::run`]. If the queue is full the job is dropped; heartbeats later
     /// detect what was missed.
-    pub(crate) fn later(&self, job: Job) {
+    pub(crate) fn enqueue(&self, job: Job) {
         if self.jobs.try_send(job).is_err() {
             log::warn!("feed: job queue is full, dropping a job.");
         }
     }
 
-    pub(crate) fn jitter(&self, most: Duration) -> Duration {
-        self.rng.lock().random_range(Duration::ZERO..=most)
+    pub(crate) fn jitter(&self, max: Duration) -> Duration {
+        self.rng.lock().random_range(Duration::ZERO..=max)
     }
 
     pub(crate) fn key(&self, instance: &Instance) -> String {
@@ -241,7 +241,8 @@
     /// Sends a message and waits for its answer.
     pub(crate) async fn ask(&self, to: &Instance, message: &Message) -> Result<Answer, Error> {
         let payload = wire::codec::pack(message)?;
-        self.ask_packed(to, message.kind(), payload, WAIT).await
+        self.ask_packed(to, message.kind(), payload, ANSWER_TIMEOUT)
+            .await
     }
 
     /// Sends a message that is already encoded, so that one sent to many is encoded once.
@@ -255,7 +256,7 @@
         let record = self.with(|roster| roster.get(to).cloned());
         let record = record.ok_or_else(|| Error::Stranger(to.clone()))?;
         self.count.sent(kind, payload.len());
-        let answer = timeout(wait, (self.carrier)(carry::peer(&record), payload)).await;
+        let answer = timeout(wait, (self.carrier)(carrier::peer(&record), payload)).await;
         let answer = answer.unwrap_or_else(|_| Err(Error::Silent(to.clone())));
         let answer = answer.inspect_err(|_| self.count.failed(kind))?;
         self.count.received(kind, answer.len());
--- a/crates/feed/src/fetch.rs
+++ b/crates/feed/src/fetch.rs
@@ -16,17 +16,17 @@
 use crate::job::Job;
 use crate::message::{Answer, Message};
 use crate::rules::{self, Arrival, Origin};
-use crate::{Error, Packed, carry};
+use crate::{Error, Packed, carrier};
 
 /// Maximum length of a piece in bytes.
-const PIECE: usize = 32 << 10;
+const MAX_PIECE_BYTES: usize = 32 << 10;
 
 /// Maximum length of the packed text in bytes. Text that doesn't compress grows by a few bytes in a
 /// thousand.
-const LONGEST: usize = Document::MAX_TEXT + Document::MAX_TEXT / 100;
+const MAX_PACKED_BYTES: usize = Document::MAX_TEXT + Document::MAX_TEXT / 100;
 
 /// Time to wait for a piece before another holder is asked.
-const PIECE_WAIT: Duration = Duration::from_secs(1);
+const PIECE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A piece of packed rules.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -88,7 +88,7 @@
 }
 
 /// Records that `holder` has rules of `version`, and starts a fetch if they are wanted.
-pub(crate) fn heard(inner: &Inner, holder: &Instance, version: Version) {
+pub(crate) fn add_holder(inner: &Inner, holder: &Instance, version: Version) {
     if !inner.current.wants(version) {
         return;
     }
@@ -105,7 +105,7 @@
         }),
     }
     if !fetch.is_running {
-        inner.later(Job::Fetch);
+        inner.enqueue(Job::Fetch);
     }
 }
 
@@ -114,24 +114,24 @@
     if std::mem::replace(&mut inner.fetch.lock().is_running, true) {
         return;
     }
-    while let Some(holder) = next(inner) {
-        match piece(inner, &holder.instance).await {
+    while let Some(holder) = next_holder(inner) {
+        match fetch_piece(inner, &holder.instance).await {
             Ok(Progress::Partial) => {}
-            Ok(Progress::Nothing) => forget(inner, &holder.instance),
+            Ok(Progress::Nothing) => remove_holder(inner, &holder.instance),
             Ok(Progress::Complete(partial)) => offer(inner, &holder.instance, partial),
             Err(error) => {
                 inner.stats.fetches_failed.inc();
                 let Holder { instance, version } = &holder;
                 log::warn!("feed: rules {version} not fetched from {instance}: {error}.");
-                forget(inner, instance);
-                look_around(inner);
+                remove_holder(inner, instance);
+                probe_observers(inner);
             }
         }
     }
 }
 
 /// Returns the first holder of the newest version that is wanted.
-fn next(inner: &Inner) -> Option<Holder> {
+fn next_holder(inner: &Inner) -> Option<Holder> {
     let mut fetch = inner.fetch.lock();
     fetch
         .holders
@@ -151,30 +151,30 @@
     holder
 }
 
-fn forget(inner: &Inner, holder: &Instance) {
+fn remove_holder(inner: &Inner, holder: &Instance) {
     let mut fetch = inner.fetch.lock();
     fetch.holders.retain(|known| known.instance != *holder);
 }
 
 /// Probes the observers if no other holder is known.
-fn look_around(inner: &Inner) {
+fn probe_observers(inner: &Inner) {
     if inner.fetch.lock().holders.is_empty() {
         for observer in inner.with(|roster| roster.heartbeat_receivers()) {
-            inner.later(Job::Probe(observer));
+            inner.enqueue(Job::Probe(observer));
         }
     }
 }
 
-async fn piece(inner: &Inner, holder: &Instance) -> Result<Progress, Error> {
+async fn fetch_piece(inner: &Inner, holder: &Instance) -> Result<Progress, Error> {
     let ask = inner.fetch.lock().ask();
     let message = Message::Ask(ask);
     let payload = wire::codec::pack(&message)?;
-    let answer = inner.ask_packed(holder, message.kind(), payload, PIECE_WAIT);
+    let answer = inner.ask_packed(holder, message.kind(), payload, PIECE_TIMEOUT);
     match answer.await? {
         Answer::Piece(None) => Ok(Progress::Nothing),
         Answer::Piece(Some(piece)) if !inner.current.wants(piece.version) => Ok(Progress::Nothing),
-        Answer::Piece(Some(piece)) => inner.fetch.lock().take(holder, piece),
-        _ => Err(carry::improper(holder)),
+        Answer::Piece(Some(piece)) => inner.fetch.lock().append(holder, piece),
+        _ => Err(carrier::unexpected_answer(holder)),
     }
 }
 
@@ -188,7 +188,7 @@
     }
 
     /// Appends a piece to those received; a piece of another document starts anew.
-    fn take(&mut self, holder: &Instance, piece: Piece) -> Result<Progress, Error> {
+    fn append(&mut self, holder: &Instance, piece: Piece) -> Result<Progress, Error> {
         let known = self.partial.take();
         let known = known.filter(|known| known.digest == piece.digest);
         let mut partial = known.unwrap_or_else(|| Partial {
@@ -199,10 +199,10 @@
             began: Instant::now(),
         });
         let end = piece.offset.checked_add(piece.bytes.len());
-        let is_short = piece.length <= LONGEST;
+        let is_within_limit = piece.length <= MAX_PACKED_BYTES;
         let fits =
             piece.offset == partial.bytes.len() && end.is_some_and(|end| end <= piece.length);
-        if !is_short || !fits || piece.bytes.is_empty() || piece.length != partial.length {
+        if !is_within_limit || !fits || piece.bytes.is_empty() || piece.length != partial.length {
             return Err(Error::Improper(
                 holder.clone(),
                 "piece does not follow the bytes received",
@@ -232,13 +232,13 @@
     inner.stats.fetched.observe(fetched.as_secs_f64());
     let arrival = Arrival {
         version,
-        origin: Origin::Asked,
+        origin: Origin::Requested,
         from: Some(from),
         fetched,
     };
     rules::unpack(inner, arrival, Packed::from(Bytes::from(partial.bytes)));
     if inner.current.wants(version) {
-        forget(inner, from);
+        remove_holder(inner, from);
     }
 }
 
@@ -250,7 +250,7 @@
     let offset = ask.digest.filter(|asked| *asked == digest);
     let offset = offset.map_or(0, |_| ask.offset);
     let bytes = packed.bytes();
-    let end = offset.saturating_add(PIECE).min(bytes.len());
+    let end = offset.saturating_add(MAX_PIECE_BYTES).min(bytes.len());
     (offset < end).then(|| Piece {
         version: rules.version,
         digest,
--- a/crates/feed/src/pulse.rs
+++ b/crates/feed/src/heartbeat.rs
@@ -11,23 +11,23 @@
 use crate::feed::Inner;
 use crate::job::Job;
 use crate::message::{Answer, Message};
-use crate::{Error, carry, fetch};
+use crate::{Error, carrier, fetch};
 
 /// Interval between two reviews.
-const REVIEW: Duration = Duration::from_secs(1);
+const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which a daemon that knows no others checks again.
-const ALONE: Duration = Duration::from_millis(100);
+const NO_PEERS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Sends heartbeats to the observers of this instance. Never returns.
-pub(crate) async fn beats(inner: Arc<Inner>) {
+pub(crate) async fn send_loop(inner: Arc<Inner>) {
     while inner.with(|roster| roster.heartbeat_receivers().is_empty()) {
-        sleep(ALONE).await;
+        sleep(NO_PEERS_INTERVAL).await;
     }
     loop {
         let now = Instant::now();
         let observers = inner.with(|roster| roster.heartbeat_receivers());
         for observer in observers {
-            inner.later(Job::Probe(observer));
+            inner.enqueue(Job::Probe(observer));
         }
         let next = inner.with(|roster| roster.next_heartbeat(now));
         sleep_until(next).await;
@@ -35,16 +35,16 @@
 }
 
 /// Reviews the roster each second. Never returns.
-pub(crate) async fn reviews(inner: Arc<Inner>) {
+pub(crate) async fn review_loop(inner: Arc<Inner>) {
     loop {
-        sleep(REVIEW).await;
+        sleep(REVIEW_INTERVAL).await;
         let now = Instant::now();
         let review = inner.with(|roster| roster.review(now));
         for vote in review.votes {
-            inner.later(Job::Vote(vote));
+            inner.enqueue(Job::Vote(vote));
         }
         if !review.removed.is_empty() {
-            inner.later(Job::Removed(review.removed));
+            inner.enqueue(Job::Removals(review.removed));
         }
     }
 }
@@ -62,24 +62,24 @@
 
 /// Sends a heartbeat to one daemon, and synchronizes with what it holds.
 pub(crate) async fn probe(inner: &Inner, to: &Instance) {
-    match beat(inner, to).await {
-        Ok(theirs) => heed(inner, to, &theirs),
+    match exchange(inner, to).await {
+        Ok(theirs) => handle_answer(inner, to, &theirs),
         Err(error) => log::debug!("feed: heartbeat failed: {error}."),
     }
 }
 
-async fn beat(inner: &Inner, to: &Instance) -> Result<Beat, Error> {
+async fn exchange(inner: &Inner, to: &Instance) -> Result<Beat, Error> {
     let rules = inner.current.version();
     let era = inner.store.eras().newest();
     let beat = inner.with(|roster| roster.heartbeat(rules, era));
     match inner.ask(to, &Message::Beat(beat)).await? {
         Answer::Beat(theirs) => Ok(theirs),
-        _ => Err(carry::improper(to)),
+        _ => Err(carrier::unexpected_answer(to)),
     }
 }
 
 /// Takes over the store era that a heartbeat names.
-pub(crate) fn learn(inner: &Inner, beat: &Beat) {
+pub(crate) fn learn_era(inner: &Inner, beat: &Beat) {
     if let Some(era) = beat.era {
         inner.store.eras().learn(era);
     }
@@ -89,12 +89,12 @@
 ///
 /// This is how a live instance that was removed by mistake learns of its removal: the digests
 /// differ, and the comparison brings the record that marks it as removed.
-fn heed(inner: &Inner, from: &Instance, theirs: &Beat) {
+fn handle_answer(inner: &Inner, from: &Instance, theirs: &Beat) {
     let now = Instant::now();
     let differs = inner.with(|roster| roster.heartbeat_received(now, from, theirs));
-    fetch::heard(inner, from, theirs.rules);
-    learn(inner, theirs);
+    fetch::add_holder(inner, from, theirs.rules);
+    learn_era(inner, theirs);
     if differs {
-        inner.later(Job::Sync(from.clone(), theirs.total));
+        inner.enqueue(Job::Sync(from.clone(), theirs.total));
     }
 }
--- a/crates/feed/src/job.rs
+++ b/crates/feed/src/job.rs
@@ -8,15 +8,15 @@
 use crate::feed::Inner;
 use crate::message::News;
 use crate::repair::Stale;
-use crate::{fetch, pulse, relay, repair, rules, sync};
+use crate::{fetch, heartbeat, relay, repair, rules, sync};
 
 /// A piece of queued work.
 #[derive(Debug)]
 pub(crate) enum Job {
     /// Relay updated records to the children in the tree.
-    Pass(News),
+    Relay(News),
     /// Send removals to all zones and to the removed instances.
-    Removed(Vec<Record>),
+    Removals(Vec<Record>),
     /// Relay the rules in force to the children in the tree.
     Push(Version),
     /// Fetch the newest rules from the daemons that have them.
@@ -30,19 +30,19 @@
     /// Rewrite objects that the store has lost.
     Restore(Vec<Record>),
     /// Delete objects of instances that are gone.
-    Sweep(Vec<Stale>),
+    DeleteStale(Vec<Stale>),
 }
 
 pub(crate) async fn run(inner: Arc<Inner>, job: Job) {
     match job {
-        Job::Pass(news) => relay::pass(&inner, news).await,
-        Job::Removed(records) => relay::removed(&inner, records).await,
+        Job::Relay(news) => relay::relay(&inner, news).await,
+        Job::Removals(records) => relay::broadcast_removed(&inner, records).await,
         Job::Push(version) => rules::push(&inner, version).await,
         Job::Fetch => fetch::run(&inner).await,
-        Job::Probe(to) => pulse::probe(&inner, &to).await,
-        Job::Vote(vote) => pulse::vote(&inner, vote).await,
+        Job::Probe(to) => heartbeat::probe(&inner, &to).await,
+        Job::Vote(vote) => heartbeat::vote(&inner, vote).await,
         Job::Sync(with, total) => sync::sync(&inner, &with, total).await,
         Job::Restore(records) => repair::restore(&inner, records).await,
-        Job::Sweep(stale) => repair::sweep(&inner, stale).await,
+        Job::DeleteStale(stale) => repair::delete_stale(&inner, stale).await,
     }
 }
--- a/crates/feed/src/leave.rs
+++ b/crates/feed/src/leave.rs
@@ -9,35 +9,35 @@
 use crate::{announce, relay};
 
 /// Maximum time for notifying the daemons, and again for the write to the store.
-const GOODBYE: Duration = Duration::from_secs(2);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before a failed write is repeated.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 pub(crate) async fn leave(inner: &Inner) {
     let record = change(inner, |roster| roster.leave(Instant::now()));
-    tell(inner, &record).await;
+    notify(inner, &record).await;
     if inner.standing {
         return;
     }
     let written = async {
         while let Err(error) = announce::write_due(inner).await {
             log::warn!("feed: stop not written to the store: {error}.");
-            sleep(AGAIN).await;
+            sleep(RETRY_PAUSE).await;
         }
     };
     // The daemons have been notified; an unreachable store must not delay the stop.
-    drop(timeout(GOODBYE, written).await);
+    drop(timeout(LEAVE_TIMEOUT, written).await);
 }
 
 /// Notifies the others that this process ends. Its announcement is deleted unless it is kept for
 /// the instance's next life, which is about to begin.
 pub(crate) async fn depart(inner: &Inner, returns: bool) {
     let record = change(inner, |roster| roster.depart(Instant::now()));
-    tell(inner, &record).await;
+    notify(inner, &record).await;
     if returns && inner.standing {
         return;
     }
-    match timeout(GOODBYE, announce::delete(inner, &record)).await {
+    match timeout(LEAVE_TIMEOUT, announce::delete(inner, &record)).await {
         Ok(Ok(())) => (),
         Ok(Err(error)) => log::warn!("feed: own object not deleted: {error}."),
         Err(_) => log::warn!("feed: own object not deleted: no answer in time."),
@@ -54,13 +54,13 @@
     })
 }
 
-async fn tell(inner: &Inner, record: &Record) {
+async fn notify(inner: &Inner, record: &Record) {
     let mut others = inner.with(|roster| roster.heartbeat_receivers());
     others.extend((inner.linked)());
     let me = &record.instance;
     others.retain(|other| other != me);
-    let told = relay::spread(inner, vec![record.clone()], &others);
-    if timeout(GOODBYE, told).await.is_err() {
+    let notified = relay::broadcast(inner, vec![record.clone()], &others);
+    if timeout(LEAVE_TIMEOUT, notified).await.is_err() {
         log::warn!(
             "feed: some daemons not notified of the stop, relying on relays in their zones."
         );
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -24,7 +24,7 @@
 
 mod announce;
 mod builder;
-mod carry;
+mod carrier;
 mod count;
 mod current;
 mod era;
@@ -32,13 +32,13 @@
 mod fallback;
 mod feed;
 mod fetch;
+mod heartbeat;
 mod job;
 mod leave;
 mod message;
 mod note;
 mod packed;
 mod platform;
-mod pulse;
 mod relay;
 mod repair;
 mod rules;
@@ -47,7 +47,7 @@
 mod watch;
 
 pub use builder::{Builder, Pace};
-pub use carry::{Carried, Carrier, over, peer};
+pub use carrier::{Carried, Carrier, over, peer};
 pub use count::{Flow, MESSAGE, PACKET};
 pub use current::{Current, Offer, Rules};
 pub use error::Error;
--- a/crates/feed/src/note.rs
+++ b/crates/feed/src/note.rs
@@ -11,7 +11,7 @@
 use crate::job::Job;
 use crate::message::{Answer, Message, News, Push};
 use crate::rules::{Arrival, Origin};
-use crate::{Error, fetch, pulse, rules, sync};
+use crate::{Error, fetch, heartbeat, rules, sync};
 
 pub(crate) fn answer(inner: &Inner, from: &Instance, payload: &[u8]) -> Result<Bytes, Error> {
     // Links identify their peers by certificate; a name that isn't in the roster has none.
@@ -22,27 +22,27 @@
     let kind = message.kind();
     inner.count.received(kind, payload.len());
     inner.roster.mark_seen(Instant::now(), from);
-    let answer = wire::codec::pack(&take(inner, from, message)?)?;
+    let answer = wire::codec::pack(&handle(inner, from, message)?)?;
     inner.count.sent(kind, answer.len());
     Ok(answer)
 }
 
-fn take(inner: &Inner, from: &Instance, message: Message) -> Result<Answer, Error> {
+fn handle(inner: &Inner, from: &Instance, message: Message) -> Result<Answer, Error> {
     match message {
-        Message::Beat(beat) => Ok(Answer::Beat(beaten(inner, from, &beat))),
-        Message::Records(news) => Ok(records(inner, news)),
-        Message::Rules(push) => Ok(pushed(inner, from, push)),
+        Message::Beat(beat) => Ok(Answer::Beat(heartbeat_received(inner, from, &beat))),
+        Message::Records(news) => Ok(records_received(inner, news)),
+        Message::Rules(push) => Ok(rules_pushed(inner, from, push)),
         Message::Ask(ask) => Ok(Answer::Piece(fetch::answer(inner, ask))),
         Message::Summary(summary) => Ok(Answer::Pages(sync::pages(inner, &summary))),
         Message::Repair(records) => Ok(Answer::Records(sync::repair(inner, records))),
-        Message::Vote(vote) => voted(inner, from, vote),
+        Message::Vote(vote) => vote_received(inner, from, vote),
     }
 }
 
-fn beaten(inner: &Inner, from: &Instance, beat: &Beat) -> Beat {
+fn heartbeat_received(inner: &Inner, from: &Instance, beat: &Beat) -> Beat {
     let now = Instant::now();
-    fetch::heard(inner, from, beat.rules);
-    pulse::learn(inner, beat);
+    fetch::add_holder(inner, from, beat.rules);
+    heartbeat::learn_era(inner, beat);
     let rules = inner.current.version();
     let era = inner.store.eras().newest();
     inner.with(|roster| {
@@ -52,18 +52,18 @@
     })
 }
 
-fn records(inner: &Inner, news: News) -> Answer {
+fn records_received(inner: &Inner, news: News) -> Answer {
     let mut records = news.records;
     // Records that are outdated here are not relayed.
     records.retain(|record| inner.merge(record));
     let seed = news.seed;
-    if inner.passed.lock().news(seed) && !records.is_empty() {
-        inner.later(Job::Pass(News { seed, records }));
+    if inner.relayed.lock().mark_update(seed) && !records.is_empty() {
+        inner.enqueue(Job::Relay(News { seed, records }));
     }
     Answer::Done
 }
 
-fn pushed(inner: &Inner, from: &Instance, push: Push) -> Answer {
+fn rules_pushed(inner: &Inner, from: &Instance, push: Push) -> Answer {
     let version = push.version;
     match push.text {
         Some(packed) => {
@@ -75,20 +75,20 @@
             };
             rules::unpack(inner, arrival, packed);
         }
-        None if inner.current.version() == version => rules::pass_on(inner, version),
-        None => fetch::heard(inner, from, version),
+        None if inner.current.version() == version => rules::relay_once(inner, version),
+        None => fetch::add_holder(inner, from, version),
     }
     Answer::Done
 }
 
-fn voted(inner: &Inner, from: &Instance, vote: Vote) -> Result<Answer, Error> {
+fn vote_received(inner: &Inner, from: &Instance, vote: Vote) -> Result<Answer, Error> {
     if vote.observer != *from {
         let cause = "sent a vote with another instance as its observer";
         return Err(Error::Improper(from.clone(), cause));
     }
     let now = Instant::now();
     if let Finding::Removed(record) = inner.with(|roster| roster.count_vote(now, &vote)) {
-        inner.later(Job::Removed(vec![record]));
+        inner.enqueue(Job::Removals(vec![record]));
     }
     Ok(Answer::Done)
 }
--- a/crates/feed/src/platform.rs
+++ b/crates/feed/src/platform.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep};
 use unit::{Instance, Version};
 
-use crate::era::Held;
+use crate::era::OwnObject;
 use crate::feed::Inner;
 use crate::job::Job;
 use crate::repair::Stale;
@@ -31,7 +31,7 @@
 ) -> Result<Version, Error> {
     let listing = within_budget(|| inner.store.list_with(&inner.prefix, consistency)).await?;
     let records: Vec<Record> = listing.objects.iter().filter_map(record).collect();
-    find_own(inner, &listing.objects, &records).await;
+    adopt_own_object(inner, &listing.objects, &records).await;
     let now = Instant::now();
     let found = inner.with(|roster| {
         roster.update_received(now);
@@ -47,7 +47,7 @@
 }
 
 /// Uses the announcement of a former life for this one too, if announcements outlive a restart.
-async fn find_own(inner: &Inner, objects: &[Object], records: &[Record]) {
+async fn adopt_own_object(inner: &Inner, objects: &[Object], records: &[Record]) {
     if !inner.standing {
         return;
     }
@@ -60,10 +60,10 @@
     if let (Some(version), Some(found)) = (version, found) {
         let mut object = inner.object.lock().await;
         match *object {
-            Held::Nothing => *object = Held::at(version.version),
-            Held::At { .. } => {}
+            OwnObject::Nothing => *object = OwnObject::at(version.version),
+            OwnObject::At { .. } => {}
             // A read that may be old can show what the store has lost.
-            Held::Lost | Held::Unknown => return,
+            OwnObject::Lost | OwnObject::Unknown => return,
         }
         drop(object);
         if found.same_place(&own) && found.state == State::Live {
@@ -115,7 +115,7 @@
 }
 
 /// Applies a change reported by a watch on the announcements.
-pub(crate) fn instances(inner: &Inner, change: &Change) {
+pub(crate) fn apply_instances(inner: &Inner, change: &Change) {
     let now = Instant::now();
     inner.with(|roster| roster.update_received(now));
     for object in &change.changed {
@@ -136,7 +136,7 @@
 fn publish(inner: &Inner, found: Listing, objects: &[Object]) {
     relay::publish(inner, found.updates);
     if !found.restore.is_empty() {
-        inner.later(Job::Restore(found.restore));
+        inner.enqueue(Job::Restore(found.restore));
     }
     let version = |record: &Record| {
         let key = inner.key(&record.instance);
@@ -146,7 +146,7 @@
     };
     let stale: Vec<Stale> = found.stale.iter().filter_map(version).collect();
     if !stale.is_empty() {
-        inner.later(Job::Sweep(stale));
+        inner.enqueue(Job::DeleteStale(stale));
     }
 }
 
@@ -164,7 +164,7 @@
         return;
     };
     let origin = match role {
-        Role::Reader => Origin::Asked,
+        Role::Reader => Origin::Requested,
         Role::Watcher => Origin::Tree,
     };
     let arrival = Arrival {
--- a/crates/feed/src/relay.rs
+++ b/crates/feed/src/relay.rs
@@ -17,13 +17,13 @@
 ///
 /// It covers a new link between regions, and leaves time for the remaining levels within the five
 /// seconds in which rules must be in force.
-const CHILD_WAIT: Duration = Duration::from_millis(500);
+const CHILD_TIMEOUT: Duration = Duration::from_millis(500);
 /// Number of relayed updates that are remembered.
-const REMEMBERED: usize = 1_024;
+const MAX_REMEMBERED: usize = 1_024;
 /// Maximum number of updated records of one listing that go down the trees. Larger sets are found
 /// by comparing digests, which costs each daemon one exchange instead of a message from each
 /// watcher.
-const MOST_NEWS: usize = 64;
+const MAX_RELAYED_RECORDS: usize = 64;
 
 /// The updates that this daemon has relayed.
 ///
@@ -31,20 +31,20 @@
 /// the update is new here: a daemon that received it directly, or found it through a heartbeat,
 /// still has children in the tree that depend on it.
 #[derive(Debug, Default)]
-pub(crate) struct Passed {
+pub(crate) struct Relayed {
     seeds: BTreeSet<u64>,
     order: VecDeque<u64>,
     rules: Version,
 }
 
-impl Passed {
-    /// Records an update as relayed; false if it already was.
-    pub(crate) fn news(&mut self, seed: u64) -> bool {
+impl Relayed {
+    /// Marks an update as relayed; false if it already was.
+    pub(crate) fn mark_update(&mut self, seed: u64) -> bool {
         if !self.seeds.insert(seed) {
             return false;
         }
         self.order.push_back(seed);
-        if self.order.len() > REMEMBERED
+        if self.order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
             self.seeds.remove(&oldest);
@@ -52,8 +52,8 @@
         true
     }
 
-    /// Records a version of the rules as relayed; false if it or a later one already was.
-    pub(crate) fn rules(&mut self, version: Version) -> bool {
+    /// Marks a version of the rules as relayed; false if it or a later one already was.
+    pub(crate) fn mark_rules(&mut self, version: Version) -> bool {
         let newer = version > self.rules;
         self.rules = version.max(self.rules);
         newer
@@ -63,14 +63,14 @@
 /// Derives the tree's seed from the records alone, wherever they were found.
 ///
 /// The three watchers of a zone, which read the same change, thus use one tree instead of three.
-fn seed(records: &[Record]) -> u64 {
+fn tree_seed(records: &[Record]) -> u64 {
     let packed = records.iter().filter_map(|r| wire::codec::pack(r).ok());
     let digests = packed.map(|bytes| Digest::of(&bytes).0 as u64);
     digests.fold(0, u64::wrapping_add)
 }
 
 /// Relays an update that came down the tree to the children.
-pub(crate) async fn pass(inner: &Inner, news: News) {
+pub(crate) async fn relay(inner: &Inner, news: News) {
     let children = children(inner, news.seed);
     let seed = news.seed;
     deliver(inner, seed, Message::Records(news), children).await;
@@ -81,37 +81,37 @@
     if records.is_empty() {
         return;
     }
-    if records.len() > MOST_NEWS {
+    if records.len() > MAX_RELAYED_RECORDS {
         log::info!(
             "feed: {} updated records are too many to relay, leaving them to heartbeats.",
             records.len()
         );
         return;
     }
-    let seed = seed(&records);
-    if inner.passed.lock().news(seed) {
-        inner.later(Job::Pass(News { seed, records }));
+    let seed = tree_seed(&records);
+    if inner.relayed.lock().mark_update(seed) {
+        inner.enqueue(Job::Relay(News { seed, records }));
     }
 }
 
 /// Sends records that originate here to all zones, and to `others` directly.
-pub(crate) async fn spread(inner: &Inner, records: Vec<Record>, others: &[Instance]) {
-    for lot in records.chunks(LOT) {
-        let seed = seed(lot);
-        inner.passed.lock().news(seed);
+pub(crate) async fn broadcast(inner: &Inner, records: Vec<Record>, others: &[Instance]) {
+    for batch in records.chunks(LOT) {
+        let seed = tree_seed(batch);
+        inner.relayed.lock().mark_update(seed);
         let mut to: BTreeSet<Instance> = children(inner, seed).into_iter().collect();
         to.extend(inner.with(|roster| roster.roots()));
         to.extend(others.iter().cloned());
-        let records = lot.to_vec();
+        let records = batch.to_vec();
         deliver(inner, seed, Message::Records(News { seed, records }), to).await;
     }
 }
 
 /// Sends removals to all zones, and to each removed instance, which refutes its removal if it is
 /// alive.
-pub(crate) async fn removed(inner: &Inner, records: Vec<Record>) {
+pub(crate) async fn broadcast_removed(inner: &Inner, records: Vec<Record>) {
     let names: Vec<Instance> = records.iter().map(|r| r.instance.clone()).collect();
-    spread(inner, records, &names).await;
+    broadcast(inner, records, &names).await;
 }
 
 /// The daemons to which this one relays: its children in the tree and, if it is one of the roots,
@@ -146,8 +146,8 @@
     let sends = to.into_iter().map(|child| {
         let payload = payload.clone();
         async move {
-            let reached = reach(inner, seed, kind, payload, &child).await;
-            (!reached).then_some(child)
+            let delivered = send(inner, seed, kind, payload, &child).await;
+            (!delivered).then_some(child)
         }
     });
     join_all(sends).await.into_iter().flatten().collect()
@@ -159,9 +159,9 @@
 /// Otherwise a daemon that has just stopped would cut off its part of the tree until heartbeats
 /// find the change some seconds later. Only one level is taken over, so that an unreachable zone
 /// costs its parents a bounded number of messages.
-async fn reach(inner: &Inner, seed: u64, kind: Kind, payload: Bytes, child: &Instance) -> bool {
+async fn send(inner: &Inner, seed: u64, kind: Kind, payload: Bytes, child: &Instance) -> bool {
     let sent = inner
-        .ask_packed(child, kind, payload.clone(), CHILD_WAIT)
+        .ask_packed(child, kind, payload.clone(), CHILD_TIMEOUT)
         .await;
     let Err(error) = sent else {
         return true;
@@ -176,7 +176,7 @@
         let payload = payload.clone();
         async move {
             inner
-                .ask_packed(&orphan, kind, payload, CHILD_WAIT)
+                .ask_packed(&orphan, kind, payload, CHILD_TIMEOUT)
                 .await
                 .inspect_err(|error| log::debug!("feed: {kind}: {error}."))
                 .is_ok()
--- a/crates/feed/src/repair.rs
+++ b/crates/feed/src/repair.rs
@@ -12,9 +12,9 @@
 use crate::{Error, era, platform};
 
 /// Pause between two writes for others: at most 6 a second from the three watchers of a zone.
-const GAP: Duration = Duration::from_millis(500);
+const WRITE_PAUSE: Duration = Duration::from_millis(500);
 /// Period over which the watchers' starts are spread, so that the first may do the work alone.
-const SPREAD: Duration = Duration::from_secs(10);
+const START_SPREAD: Duration = Duration::from_secs(10);
 
 /// An object of an instance that is gone.
 #[derive(Debug, Clone)]
@@ -27,7 +27,7 @@
 
 /// Rewrites objects that the store has lost, unless the key exists again.
 pub(crate) async fn restore(inner: &Inner, records: Vec<Record>) {
-    sleep(inner.jitter(SPREAD)).await;
+    sleep(inner.jitter(START_SPREAD)).await;
     let _repairing = inner.repairing.lock().await;
     for record in records {
         if !is_current(inner, &record) {
@@ -37,7 +37,7 @@
             log::warn!("feed: objects not restored: {error}.");
             return;
         }
-        sleep(GAP).await;
+        sleep(WRITE_PAUSE).await;
     }
 }
 
@@ -66,9 +66,9 @@
 }
 
 /// Deletes objects of instances that are gone, if they are unchanged since they were read.
-pub(crate) async fn sweep(inner: &Inner, stale: Vec<Stale>) {
-    era::settled(inner).await;
-    sleep(inner.jitter(SPREAD)).await;
+pub(crate) async fn delete_stale(inner: &Inner, stale: Vec<Stale>) {
+    era::wait_for_rewrites(inner).await;
+    sleep(inner.jitter(START_SPREAD)).await;
     let _repairing = inner.repairing.lock().await;
     for Stale { key, version } in stale {
         if !is_gone(inner, &key) {
@@ -81,6 +81,6 @@
             log::warn!("feed: stale objects not deleted: {error}.");
             return;
         }
-        sleep(GAP).await;
+        sleep(WRITE_PAUSE).await;
     }
 }
--- a/crates/feed/src/rules.rs
+++ b/crates/feed/src/rules.rs
@@ -24,7 +24,7 @@
     /// them.
     Tree,
     /// Requested by this daemon.
-    Asked,
+    Requested,
 }
 
 /// Rules received by this daemon.
@@ -51,16 +51,16 @@
     let Arrival {
         version, origin, ..
     } = arrival;
-    let first = inner.current.version() == Version::NONE;
+    let is_first = inner.current.version() == Version::NONE;
     let began = Instant::now();
     let offer = inner.current.offer_packed(version, text, packed)?;
     if offer == Offer::Taken {
         report(inner, &arrival, text.len(), began.elapsed());
     }
     // A newly started daemon that fetches its first rules fetches what the others already have.
-    let news = origin == Origin::Tree || (offer == Offer::Taken && !first);
-    if news && inner.current.version() == version {
-        pass_on(inner, version);
+    let relays = origin == Origin::Tree || (offer == Offer::Taken && !is_first);
+    if relays && inner.current.version() == version {
+        relay_once(inner, version);
     }
     Ok(offer)
 }
@@ -70,7 +70,7 @@
     let version = arrival.version;
     let held = inner.current.version();
     if version == held && arrival.origin == Origin::Tree {
-        pass_on(inner, version);
+        relay_once(inner, version);
     }
     if version <= held {
         return;
@@ -102,18 +102,18 @@
 }
 
 /// Queues the rules in force for relaying, once per version.
-pub(crate) fn pass_on(inner: &Inner, version: Version) {
-    if inner.passed.lock().rules(version) {
-        inner.later(Job::Push(version));
+pub(crate) fn relay_once(inner: &Inner, version: Version) {
+    if inner.relayed.lock().mark_rules(version) {
+        inner.enqueue(Job::Push(version));
     }
 }
 
 /// Pauses before a push that failed is repeated. Others take a restarted daemon for its former life
 /// until its announcement has spread, and its next heartbeat is 5 s away.
-const PUSH_AGAIN: [Duration; 2] = [Duration::from_secs(1), Duration::from_millis(1_500)];
+const PUSH_RETRY_PAUSES: [Duration; 2] = [Duration::from_secs(1), Duration::from_millis(1_500)];
 
 /// Derives the tree's seed from a version.
-fn seed(version: Version) -> u64 {
+fn tree_seed(version: Version) -> u64 {
     version.era.0.rotate_left(u64::BITS / 2) ^ version.revision
 }
 
@@ -128,14 +128,14 @@
     }
     let packed = rules.packed();
     let text = packed.filter(|packed| packed.bytes().len() <= SHORT);
-    let children = relay::children(inner, seed(version));
+    let children = relay::children(inner, tree_seed(version));
     let message = Message::Rules(Push { version, text });
-    let mut missing = relay::deliver(inner, seed(version), message.clone(), children).await;
-    for pause in PUSH_AGAIN {
-        if missing.is_empty() || inner.current.version() != version {
+    let mut unreached = relay::deliver(inner, tree_seed(version), message.clone(), children).await;
+    for pause in PUSH_RETRY_PAUSES {
+        if unreached.is_empty() || inner.current.version() != version {
             return;
         }
         sleep(pause).await;
-        missing = relay::deliver(inner, seed(version), message.clone(), missing).await;
+        unreached = relay::deliver(inner, tree_seed(version), message.clone(), unreached).await;
     }
 }
--- a/crates/feed/src/stats.rs
+++ b/crates/feed/src/stats.rs
@@ -19,16 +19,16 @@
 }
 
 /// A histogram with buckets from 1 ms to 8 s, each twice the previous one.
-fn times() -> Histogram {
+fn duration_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 14))
 }
 
 impl Default for Stats {
     fn default() -> Stats {
         Stats {
-            fetched: times(),
+            fetched: duration_histogram(),
             fetches_failed: Counter::default(),
-            read: times(),
+            read: duration_histogram(),
             rollbacks: Counter::default(),
             rewritten: Counter::default(),
         }
--- a/crates/feed/src/sync.rs
+++ b/crates/feed/src/sync.rs
@@ -8,18 +8,18 @@
 
 use crate::feed::Inner;
 use crate::message::{Answer, LOT, Message, Page};
-use crate::{Error, carry};
+use crate::{Error, carrier};
 
 /// How long a difference must last before rosters are compared. Updates in transit make digests
 /// differ for moments, and each comparison costs 600 bytes and a bucket.
-const SETTLE: Duration = Duration::from_millis(500);
+const MIN_DIFFERENCE: Duration = Duration::from_millis(500);
 
 /// Compares rosters with a daemon that reported the digest `total`; one comparison at a time.
 pub(crate) async fn sync(inner: &Inner, with: &Instance, total: u64) {
     let Ok(_syncing) = inner.syncing.try_lock() else {
         return;
     };
-    sleep(SETTLE).await;
+    sleep(MIN_DIFFERENCE).await;
     let summary = inner.with(|roster| roster.summary().clone());
     if summary.total() == total {
         return;
@@ -32,13 +32,13 @@
 async fn exchange(inner: &Inner, with: &Instance, summary: Summary) -> Result<(), Error> {
     let answer = inner.ask(with, &Message::Summary(summary)).await?;
     let Answer::Pages(pages) = answer else {
-        return Err(carry::improper(with));
+        return Err(carrier::unexpected_answer(with));
     };
     let reply = merge(inner, pages);
-    for lot in reply.chunks(LOT) {
-        let answer = inner.ask(with, &Message::Repair(lot.to_vec())).await?;
+    for batch in reply.chunks(LOT) {
+        let answer = inner.ask(with, &Message::Repair(batch.to_vec())).await?;
         let Answer::Records(records) = answer else {
-            return Err(carry::improper(with));
+            return Err(carrier::unexpected_answer(with));
         };
         for record in records {
             inner.merge(&record);
--- a/crates/feed/src/watch.rs
+++ b/crates/feed/src/watch.rs
@@ -12,12 +12,12 @@
 use crate::platform::{self, Role};
 
 /// Interval at which a daemon checks whether it is a watcher.
-const LOOK: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of consecutive checks that must find this daemon not to be a watcher before it stops
 /// watching. Rosters differ for moments, and each new watch costs a listing.
-const LOOKS: u32 = 5;
+const RELEASE_CHECKS: u32 = 5;
 /// Initial pause between failed reads.
-const PAUSE: Duration = Duration::from_millis(50);
+const MIN_PAUSE: Duration = Duration::from_millis(50);
 
 /// Number of instances per zone that watch the announcements. Instances that start or leave notify
 /// the others over links, so this watch only finds what those have missed; rules have no other
@@ -27,10 +27,10 @@
 /// Delay before a newly started daemon lists again. Daemons that started at the same time have
 /// announced themselves by then: a call takes some milliseconds, and a simultaneous start of all
 /// spreads over half a second.
-const SETTLE: Duration = Duration::from_millis(1_500);
+const RELIST_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Maximum number of further listings while no other instance is known.
-const SETTLES: u32 = 3;
+const MAX_RELISTS: u32 = 3;
 
 /// Period over which watchers spread their reads after the store was restored from an older copy.
 const ROLLBACK_SPREAD: Duration = Duration::from_millis(200);
@@ -44,13 +44,13 @@
 
 /// Reads the platform once, then watches it whenever this daemon is a watcher of its zone.
 pub(crate) async fn run(inner: Arc<Inner>) {
-    begin(&inner).await;
+    start(&inner).await;
     tokio::join!(watch(&inner, Part::Instances), watch(&inner, Part::Rules));
 }
 
 fn backoff(inner: &Inner) -> Backoff {
     let seed = inner.jitter(Duration::from_secs(1)).as_nanos() as u64;
-    Backoff::new(PAUSE, inner.pace.pause, seed)
+    Backoff::new(MIN_PAUSE, inner.pace.pause, seed)
 }
 
 /// Lists the announcements, retrying until that succeeds, and then reads the rules once.
@@ -61,20 +61,20 @@
 ///
 /// A result that is some seconds old is enough here: later changes arrive over links, and watchers
 /// continue from a linearizable listing.
-async fn begin(inner: &Inner) {
+async fn start(inner: &Inner) {
     let mut backoff = backoff(inner);
     while let Err(error) = platform::list(inner, Role::Reader, Consistency::Serializable).await {
         log::warn!("feed: {error}. No other instances are known yet.");
         sleep(backoff.pause()).await;
     }
     inner.listed.cancel();
-    first_rules(inner).await;
+    read_rules(inner).await;
     if inner.standing && !inner.with(|roster| roster.is_written()) {
-        settle(inner).await;
+        relist(inner).await;
     }
 }
 
-async fn first_rules(inner: &Inner) {
+async fn read_rules(inner: &Inner) {
     let rules = platform::rules(inner, Role::Reader, Consistency::Serializable).await;
     if let Err(error) = rules {
         log::warn!("feed: {error}. Rules will come from neighbours.");
@@ -86,15 +86,15 @@
 /// If all daemons start for the first time at once, the first listing shows few or none. Each would
 /// then take itself for a watcher, make another linearizable listing, and watch: with 195 daemons,
 /// 390 unnecessary calls.
-async fn settle(inner: &Inner) {
-    for _ in 0..SETTLES {
-        sleep(SETTLE + inner.jitter(SETTLE / 2)).await;
+async fn relist(inner: &Inner) {
+    for _ in 0..MAX_RELISTS {
+        sleep(RELIST_DELAY + inner.jitter(RELIST_DELAY / 2)).await;
         let listed = platform::list(inner, Role::Reader, Consistency::Serializable).await;
         if let Err(error) = listed {
             log::warn!("feed: {error}. Some instances may not be known yet.");
         }
         if inner.current.version() == Version::NONE {
-            first_rules(inner).await;
+            read_rules(inner).await;
         }
         if inner.with(|roster| roster.peers().next().is_some()) {
             return;
@@ -106,9 +106,9 @@
 async fn watch(inner: &Inner, part: Part) {
     let mut backoff = backoff(inner);
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         while is_watcher(inner, part) {
-            if let Err(error) = serve(inner, part, &mut backoff).await {
+            if let Err(error) = read_and_watch(inner, part, &mut backoff).await {
                 log::warn!("feed: {error}.");
                 sleep(backoff.pause()).await;
             }
@@ -128,7 +128,7 @@
 
 /// Reads one part, then watches it until this daemon is no longer a watcher, the watch fails or the
 /// store's era changes.
-async fn serve(inner: &Inner, part: Part, backoff: &mut Backoff) -> Result<(), Error> {
+async fn read_and_watch(inner: &Inner, part: Part, backoff: &mut Backoff) -> Result<(), Error> {
     let since = match part {
         Part::Instances => platform::list(inner, Role::Watcher, Consistency::Linearizable).await?,
         Part::Rules => platform::rules_at(inner).await?,
@@ -141,7 +141,7 @@
             Ok(())
         }
         result = follow(inner, part, since, backoff) => result,
-        () = relieved(inner, part) => {
+        () = no_longer_watcher(inner, part) => {
             log::info!("feed: stops watching {part:?}, other daemons watch it now.");
             Ok(())
         }
@@ -149,14 +149,14 @@
 }
 
 /// Resolves once this daemon is no longer a watcher.
-async fn relieved(inner: &Inner, part: Part) {
-    let mut looks = 0;
-    while looks < LOOKS {
-        sleep(LOOK).await;
-        looks = if is_watcher(inner, part) {
+async fn no_longer_watcher(inner: &Inner, part: Part) {
+    let mut checks = 0;
+    while checks < RELEASE_CHECKS {
+        sleep(CHECK_INTERVAL).await;
+        checks = if is_watcher(inner, part) {
             0
         } else {
-            looks + 1
+            checks + 1
         };
     }
 }
@@ -184,21 +184,21 @@
         Part::Rules => (&inner.rules_key, inner.pace.rules, inner.pace.gather_rules),
     };
     loop {
-        let begun = Instant::now();
+        let started = Instant::now();
         let change = platform::within_budget(|| inner.store.watch(key, since, wait)).await?;
         backoff.reset();
         since = change.revision;
-        take(inner, part, &change);
+        apply(inner, part, &change);
         let is_empty = change.changed.is_empty() && change.deleted.is_empty();
-        if !is_empty || begun.elapsed() < gather {
+        if !is_empty || started.elapsed() < gather {
             sleep(gather).await;
         }
     }
 }
 
-fn take(inner: &Inner, part: Part, change: &Change) {
+fn apply(inner: &Inner, part: Part, change: &Change) {
     match part {
-        Part::Instances => platform::instances(inner, change),
+        Part::Instances => platform::apply_instances(inner, change),
         Part::Rules => {
             let objects = change.changed.iter();
             for object in objects.filter(|object| object.key == inner.rules_key) {
