--- a/bench/src/capacity/feed.rs
+++ b/bench/src/capacity/feed.rs
@@ -227,7 +227,7 @@
 impl Feeds {
     /// Bytes that one change of rules of `length` costs the average daemon.
     pub(crate) fn change(&self, length: f64) -> f64 {
-        let tree = length <= ::feed::SHORT as f64;
+        let tree = length <= ::feed::MAX_PUSHED_BYTES as f64;
         if tree {
             self.short.at(length)
         } else {
@@ -237,7 +237,7 @@
 
     /// The same for the busiest daemon, which also reads the text from the platform.
     pub(crate) fn change_most(&self, length: f64) -> f64 {
-        let tree = length <= ::feed::SHORT as f64;
+        let tree = length <= ::feed::MAX_PUSHED_BYTES as f64;
         let line = if tree {
             &self.short_most
         } else {
--- a/crates/appleshore/src/profile.rs
+++ b/crates/appleshore/src/profile.rs
@@ -82,10 +82,10 @@
             profile.hand_overs = Some(HAND_OVERS);
             profile.link_within = Some(LINK_WITHIN);
             profile.pace = feed::Pace {
-                instances: LONG_WATCH,
-                rules: LONG_WATCH,
-                gather: GATHER,
-                pause: LONGEST_PAUSE,
+                instances_wait: LONG_WATCH,
+                rules_wait: LONG_WATCH,
+                instances_pause: GATHER,
+                max_backoff: LONGEST_PAUSE,
                 ..feed::Pace::default()
             };
             profile.policy = policy();
--- a/crates/feed/src/builder.rs
+++ b/crates/feed/src/builder.rs
@@ -35,8 +35,8 @@
     carrier: Carrier,
     prefix: String,
     rules_key: String,
-    changed: Box<dyn Fn() + Send + Sync>,
-    linked: Box<dyn Fn() -> Vec<Instance> + Send + Sync>,
+    on_change: Box<dyn Fn() + Send + Sync>,
+    linked_peers: Box<dyn Fn() -> Vec<Instance> + Send + Sync>,
     mistaken: Box<dyn Fn() -> u64 + Send + Sync>,
     seed: u64,
     pace: Pace,
@@ -47,31 +47,31 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pace {
     /// Maximum wait of one watch call on the announcements.
-    pub instances: Duration,
+    pub instances_wait: Duration,
     /// Maximum wait of one watch call on the rules.
     ///
     /// A watch may become unresponsive without an error. It is then given up after this wait plus
     /// the timeout of a call (1 s), and the rules are read. With 3 s, rules arrive within the five
     /// seconds promised to operators even if the watches of all watchers become unresponsive
     /// together. For a store whose connections are probed the wait may be longer.
-    pub rules: Duration,
+    pub rules_wait: Duration,
     /// Pause of a watch on the announcements after each answer, so that changes in quick succession
     /// cost one call. Instances that start or leave notify the others over links meanwhile.
-    pub gather: Duration,
+    pub instances_pause: Duration,
     /// The same for the watch on the rules, which are not sent over links before it reports them.
-    pub gather_rules: Duration,
+    pub rules_pause: Duration,
     /// Maximum pause between two attempts while the platform is unreachable.
-    pub pause: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for Pace {
     fn default() -> Pace {
         Pace {
-            instances: Duration::from_secs(10),
-            rules: Duration::from_secs(3),
-            gather: Duration::from_millis(200),
-            gather_rules: Duration::from_millis(100),
-            pause: Duration::from_secs(5),
+            instances_wait: Duration::from_secs(10),
+            rules_wait: Duration::from_secs(3),
+            instances_pause: Duration::from_millis(200),
+            rules_pause: Duration::from_millis(100),
+            max_backoff: Duration::from_secs(5),
         }
     }
 }
@@ -79,7 +79,7 @@
 impl Builder {
     pub(crate) fn new(store: Store, roster: Arc<Shared>, current: Arc<Current>) -> Builder {
         let unreachable: Carrier =
-            Arc::new(|peer, _| Box::pin(async move { Err(Error::Stranger(peer.instance)) }));
+            Arc::new(|peer, _| Box::pin(async move { Err(Error::UnknownInstance(peer.instance)) }));
         Builder {
             store,
             roster,
@@ -87,8 +87,8 @@
             carrier: unreachable,
             prefix: "instances/".to_string(),
             rules_key: "rules".to_string(),
-            changed: Box::new(|| ()),
-            linked: Box::new(Vec::new),
+            on_change: Box::new(|| ()),
+            linked_peers: Box::new(Vec::new),
             mistaken: Box::new(|| 0),
             seed: 0,
             pace: Pace::default(),
@@ -117,15 +117,18 @@
 
     /// Sets a callback for when readers of the roster may see a change. Calls do not overlap. It
     /// must not call back into the feed.
-    pub fn changed(mut self, changed: impl Fn() + Send + Sync + 'static) -> Builder {
-        self.changed = Box::new(changed);
+    pub fn on_change(mut self, on_change: impl Fn() + Send + Sync + 'static) -> Builder {
+        self.on_change = Box::new(on_change);
         self
     }
 
     /// Sets the source of the daemons with open links, which are notified directly when this
     /// instance leaves.
-    pub fn linked(mut self, linked: impl Fn() -> Vec<Instance> + Send + Sync + 'static) -> Builder {
-        self.linked = Box::new(linked);
+    pub fn linked_peers(
+        mut self,
+        linked_peers: impl Fn() -> Vec<Instance> + Send + Sync + 'static,
+    ) -> Builder {
+        self.linked_peers = Box::new(linked_peers);
         self
     }
 
@@ -167,9 +170,9 @@
             carrier: self.carrier,
             prefix: self.prefix,
             rules_key: self.rules_key,
-            changed: Mutex::new(self.changed),
+            on_change: Mutex::new(self.on_change),
             published: Mutex::default(),
-            linked: self.linked,
+            linked_peers: self.linked_peers,
             mistaken: self.mistaken,
             rng: Mutex::new(Pcg64Mcg::seed_from_u64(self.seed)),
             jobs,
--- a/crates/feed/src/carrier.rs
+++ b/crates/feed/src/carrier.rs
@@ -11,10 +11,10 @@
 use crate::Error;
 
 /// The future that a [`Carrier`] returns.
-pub type Carried = Pin<Box<dyn Future<Output = Result<Bytes, Error>> + Send>>;
+pub type CarrierFuture = Pin<Box<dyn Future<Output = Result<Bytes, Error>> + Send>>;
 
 /// Carries one encoded message to one peer, and returns its answer.
-pub type Carrier = Arc<dyn Fn(Peer, Bytes) -> Carried + Send + Sync>;
+pub type Carrier = Arc<dyn Fn(Peer, Bytes) -> CarrierFuture + Send + Sync>;
 
 /// Returns a carrier over the links of `dialer`.
 pub fn over(dialer: Arc<Dialer>) -> Carrier {
@@ -30,7 +30,7 @@
 }
 
 pub(crate) fn unexpected_answer(peer: &Instance) -> Error {
-    Error::Improper(peer.clone(), "an answer of another kind")
+    Error::Unexpected(peer.clone(), "an answer of another kind")
 }
 
 /// Returns the peer by which the daemon of a record is dialled.
--- a/crates/feed/src/count.rs
+++ b/crates/feed/src/count.rs
@@ -9,9 +9,9 @@
 
 /// Bytes that a message of one packet adds to its payload: 100 of QUIC, as the example `link`
 /// measures them, and the IP and UDP headers of the packet and of its acknowledgement.
-pub const MESSAGE: u64 = 160;
+pub const MESSAGE_OVERHEAD: u64 = 160;
 /// Bytes that each further packet adds, measured in the same way.
-pub const PACKET: u64 = 90;
+pub const PACKET_OVERHEAD: u64 = 90;
 /// Payload in bytes that fits in one packet.
 const PACKET_PAYLOAD: u64 = 1_200;
 
@@ -26,7 +26,8 @@
     pub received: u64,
     /// Payload bytes received.
     pub received_bytes: u64,
-    /// Payload bytes with [`MESSAGE`] and [`PACKET`] overhead, both ways; without handshakes.
+    /// Payload bytes plus [`MESSAGE_OVERHEAD`] and [`PACKET_OVERHEAD`], both ways; without
+    /// handshakes.
     pub network_bytes: u64,
     /// Messages without an answer.
     pub failed: u64,
@@ -73,5 +74,5 @@
 }
 
 fn with_overhead(bytes: u64) -> u64 {
-    bytes + MESSAGE + bytes.saturating_sub(1) / PACKET_PAYLOAD * PACKET
+    bytes + MESSAGE_OVERHEAD + bytes.saturating_sub(1) / PACKET_PAYLOAD * PACKET_OVERHEAD
 }
--- a/crates/feed/src/current.rs
+++ b/crates/feed/src/current.rs
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer {
     /// The offered rules are now in force.
-    Taken,
+    Accepted,
     /// The same or newer rules were already in force.
     Old,
 }
@@ -106,7 +106,7 @@
             return Ok(Offer::Old);
         }
         *current = Some(rules);
-        Ok(Offer::Taken)
+        Ok(Offer::Accepted)
     }
 
     fn refuse(&self, version: Version, cause: rule::Error) -> Error {
--- a/crates/feed/src/error.rs
+++ b/crates/feed/src/error.rs
@@ -34,19 +34,19 @@
             source(cause)
         }
         /// The unpacked text is longer than any document may be.
-        Long {
+        TooLong {
             display("unpacked rules are longer than {} bytes", rule::Document::MAX_TEXT)
         }
         /// The instance did not answer in time.
-        Silent(peer: Instance) {
+        Timeout(peer: Instance) {
             display("{peer} did not answer in time")
         }
         /// The instance is not announced here, or no address is known for it.
-        Stranger(peer: Instance) {
+        UnknownInstance(peer: Instance) {
             display("{peer} is not in the roster")
         }
         /// The instance sent what it may not send, or an answer of another kind.
-        Improper(peer: Instance, cause: &'static str) {
+        Unexpected(peer: Instance, cause: &'static str) {
             display("{peer}: {cause}")
         }
     }
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -46,10 +46,10 @@
     pub(crate) carrier: Carrier,
     pub(crate) prefix: String,
     pub(crate) rules_key: String,
-    pub(crate) changed: Mutex<Box<dyn Fn() + Send + Sync>>,
-    /// The roster version for which `changed` was last called.
+    pub(crate) on_change: Mutex<Box<dyn Fn() + Send + Sync>>,
+    /// The roster version for which `on_change` was last called.
     pub(crate) published: Mutex<Version>,
-    pub(crate) linked: Box<dyn Fn() -> Vec<Instance> + Send + Sync>,
+    pub(crate) linked_peers: Box<dyn Fn() -> Vec<Instance> + Send + Sync>,
     pub(crate) mistaken: Box<dyn Fn() -> u64 + Send + Sync>,
     pub(crate) rng: Mutex<Pcg64Mcg>,
     pub(crate) jobs: mpsc::Sender<Job>,
@@ -133,9 +133,9 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Stranger`] if `from` isn't in the roster, [`Error::Wire`] if the payload doesn't
-    /// decode, [`Error::Improper`] if `from` may not send this message. The caller should then end
-    /// the stream without an answer.
+    /// [`Error::UnknownInstance`] if `from` isn't in the roster, [`Error::Wire`] if the payload
+    /// doesn't decode, [`Error::Unexpected`] if `from` may not send this message. The caller should
+    /// then end the stream without an answer.
     pub fn note(&self, from: &Instance, payload: &[u8]) -> Result<Bytes, Error> {
         note::answer(&self.inner, from, payload)
     }
@@ -204,7 +204,7 @@
 }
 
 impl Inner {
-    /// Runs `job` on the roster, then calls `changed` if readers may see a change.
+    /// Runs `job` on the roster, then calls `on_change` if readers may see a change.
     pub(crate) fn with<T>(&self, job: impl FnOnce(&mut Roster) -> T) -> T {
         let result = self.roster.with(job);
         let version = self.roster.version();
@@ -216,8 +216,8 @@
         };
         if newer {
             // Calls are serialized; otherwise a slow reader could overwrite newer state with older.
-            let changed = self.changed.lock();
-            changed();
+            let on_change = self.on_change.lock();
+            on_change();
         }
         result
     }
@@ -254,10 +254,10 @@
         wait: Duration,
     ) -> Result<Answer, Error> {
         let record = self.with(|roster| roster.get(to).cloned());
-        let record = record.ok_or_else(|| Error::Stranger(to.clone()))?;
+        let record = record.ok_or_else(|| Error::UnknownInstance(to.clone()))?;
         self.count.sent(kind, payload.len());
         let answer = timeout(wait, (self.carrier)(carrier::peer(&record), payload)).await;
-        let answer = answer.unwrap_or_else(|_| Err(Error::Silent(to.clone())));
+        let answer = answer.unwrap_or_else(|_| Err(Error::Timeout(to.clone())));
         let answer = answer.inspect_err(|_| self.count.failed(kind))?;
         self.count.received(kind, answer.len());
         self.roster.mark_seen(Instant::now(), to);
--- a/crates/feed/src/fetch.rs
+++ b/crates/feed/src/fetch.rs
@@ -203,7 +203,7 @@
         let fits =
             piece.offset == partial.bytes.len() && end.is_some_and(|end| end <= piece.length);
         if !is_within_limit || !fits || piece.bytes.is_empty() || piece.length != partial.length {
-            return Err(Error::Improper(
+            return Err(Error::Unexpected(
                 holder.clone(),
                 "piece does not follow the bytes received",
             ));
@@ -215,7 +215,7 @@
             return Ok(Progress::Partial);
         }
         if Digest::of(&partial.bytes) != partial.digest {
-            return Err(Error::Improper(
+            return Err(Error::Unexpected(
                 holder.clone(),
                 "digest of the received pieces does not match",
             ));
--- a/crates/feed/src/job.rs
+++ b/crates/feed/src/job.rs
@@ -6,7 +6,7 @@
 use unit::{Instance, Version};
 
 use crate::feed::Inner;
-use crate::message::News;
+use crate::message::Update;
 use crate::repair::Stale;
 use crate::{fetch, heartbeat, relay, repair, rules, sync};
 
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub(crate) enum Job {
     /// Relay updated records to the children in the tree.
-    Relay(News),
+    Relay(Update),
     /// Send removals to all zones and to the removed instances.
     Removals(Vec<Record>),
     /// Relay the rules in force to the children in the tree.
@@ -35,7 +35,7 @@
 
 pub(crate) async fn run(inner: Arc<Inner>, job: Job) {
     match job {
-        Job::Relay(news) => relay::relay(&inner, news).await,
+        Job::Relay(update) => relay::relay(&inner, update).await,
         Job::Removals(records) => relay::broadcast_removed(&inner, records).await,
         Job::Push(version) => rules::push(&inner, version).await,
         Job::Fetch => fetch::run(&inner).await,
--- a/crates/feed/src/leave.rs
+++ b/crates/feed/src/leave.rs
@@ -56,7 +56,7 @@
 
 async fn notify(inner: &Inner, record: &Record) {
     let mut others = inner.with(|roster| roster.heartbeat_receivers());
-    others.extend((inner.linked)());
+    others.extend((inner.linked_peers)());
     let me = &record.instance;
     others.retain(|other| other != me);
     let notified = relay::broadcast(inner, vec![record.clone()], &others);
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -47,13 +47,13 @@
 mod watch;
 
 pub use builder::{Builder, Pace};
-pub use carrier::{Carried, Carrier, over, peer};
-pub use count::{Flow, MESSAGE, PACKET};
+pub use carrier::{Carrier, CarrierFuture, over, peer};
+pub use count::{Flow, MESSAGE_OVERHEAD, PACKET_OVERHEAD};
 pub use current::{Current, Offer, Rules};
 pub use error::Error;
 pub use feed::{Dump, Feed};
 pub use fetch::{Ask, Piece};
-pub use message::{Answer, Kind, LOT, Message, News, Page, Push};
+pub use message::{Answer, Kind, MAX_RECORDS, Message, Page, Push, Update};
 pub use packed::Packed;
-pub use rules::SHORT;
+pub use rules::MAX_PUSHED_BYTES;
 pub use stats::Stats;
--- a/crates/feed/src/message.rs
+++ b/crates/feed/src/message.rs
@@ -1,7 +1,8 @@
 //! Messages that daemons send each other about rules and roster.
 //!
 //! Each message is one note on a stream of its own and gets one [`Answer`]. Both are encoded with
-//! postcard and fit in one frame: rules are sent in pieces, records in batches of at most [`LOT`].
+//! postcard and fit in one frame: rules are sent in pieces, records in batches of at most
+//! [`MAX_RECORDS`].
 
 use roster::{Beat, Bucket, Record, Summary, Vote};
 use serde::{Deserialize, Serialize};
@@ -11,7 +12,7 @@
 
 /// Maximum number of records in one message. A record takes about 100 bytes, and about 500 with the
 /// longest names.
-pub const LOT: usize = 1_000;
+pub const MAX_RECORDS: usize = 1_000;
 
 /// A message from one daemon to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,7 +20,7 @@
     /// A heartbeat with the sender's roster digest and rules version. Answered by [`Answer::Beat`].
     Beat(Beat),
     /// Updated records, to be relayed down the zone's tree. Answered by [`Answer::Done`].
-    Records(News),
+    Records(Update),
     /// Updated rules, to be relayed down the zone's tree. Answered by [`Answer::Done`].
     Rules(Push),
     /// A request for a piece of the rules in force. Answered by [`Answer::Piece`].
@@ -49,7 +50,7 @@
 
 /// Updated records that are relayed down a zone's tree.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// Determines the order of the tree; see [`roster::Roster::relay_children`]. The same records
     /// always have the same seed.
     pub seed: u64,
--- a/crates/feed/src/note.rs
+++ b/crates/feed/src/note.rs
@@ -9,14 +9,14 @@
 
 use crate::feed::Inner;
 use crate::job::Job;
-use crate::message::{Answer, Message, News, Push};
+use crate::message::{Answer, Message, Push, Update};
 use crate::rules::{Arrival, Origin};
 use crate::{Error, fetch, heartbeat, rules, sync};
 
 pub(crate) fn answer(inner: &Inner, from: &Instance, payload: &[u8]) -> Result<Bytes, Error> {
     // Links identify their peers by certificate; a name that isn't in the roster has none.
     if inner.with(|roster| roster.get(from).is_none()) {
-        return Err(Error::Stranger(from.clone()));
+        return Err(Error::UnknownInstance(from.clone()));
     }
     let message: Message = wire::codec::unpack(payload)?;
     let kind = message.kind();
@@ -30,7 +30,7 @@
 fn handle(inner: &Inner, from: &Instance, message: Message) -> Result<Answer, Error> {
     match message {
         Message::Beat(beat) => Ok(Answer::Beat(heartbeat_received(inner, from, &beat))),
-        Message::Records(news) => Ok(records_received(inner, news)),
+        Message::Records(update) => Ok(records_received(inner, update)),
         Message::Rules(push) => Ok(rules_pushed(inner, from, push)),
         Message::Ask(ask) => Ok(Answer::Piece(fetch::answer(inner, ask))),
         Message::Summary(summary) => Ok(Answer::Pages(sync::pages(inner, &summary))),
@@ -52,13 +52,13 @@
     })
 }
 
-fn records_received(inner: &Inner, news: News) -> Answer {
-    let mut records = news.records;
+fn records_received(inner: &Inner, update: Update) -> Answer {
+    let mut records = update.records;
     // Records that are outdated here are not relayed.
     records.retain(|record| inner.merge(record));
-    let seed = news.seed;
+    let seed = update.seed;
     if inner.relayed.lock().mark_update(seed) && !records.is_empty() {
-        inner.enqueue(Job::Relay(News { seed, records }));
+        inner.enqueue(Job::Relay(Update { seed, records }));
     }
     Answer::Done
 }
@@ -84,7 +84,7 @@
 fn vote_received(inner: &Inner, from: &Instance, vote: Vote) -> Result<Answer, Error> {
     if vote.observer != *from {
         let cause = "sent a vote with another instance as its observer";
-        return Err(Error::Improper(from.clone(), cause));
+        return Err(Error::Unexpected(from.clone(), cause));
     }
     let now = Instant::now();
     if let Finding::Removed(record) = inner.with(|roster| roster.count_vote(now, &vote)) {
--- a/crates/feed/src/packed.rs
+++ b/crates/feed/src/packed.rs
@@ -54,8 +54,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Packed`] if the bytes are not compressed UTF-8 text, [`Error::Long`] if the text is
-    /// longer than that limit.
+    /// [`Error::Packed`] if the bytes are not compressed UTF-8 text, [`Error::TooLong`] if the text
+    /// is longer than that limit.
     pub fn text(&self) -> Result<String, Error> {
         let mut text = String::new();
         let bound = Document::MAX_TEXT as u64 + 1;
@@ -64,7 +64,7 @@
             .read_to_string(&mut text)
             .map_err(Error::Packed)?;
         if text.len() > Document::MAX_TEXT {
-            return Err(Error::Long);
+            return Err(Error::TooLong);
         }
         Ok(text)
     }
--- a/crates/feed/src/relay.rs
+++ b/crates/feed/src/relay.rs
@@ -10,7 +10,7 @@
 
 use crate::feed::Inner;
 use crate::job::Job;
-use crate::message::{Kind, LOT, Message, News};
+use crate::message::{Kind, MAX_RECORDS, Message, Update};
 
 /// Time within which a child in the tree must answer before its own children are sent the update
 /// directly.
@@ -70,10 +70,10 @@
 }
 
 /// Relays an update that came down the tree to the children.
-pub(crate) async fn relay(inner: &Inner, news: News) {
-    let children = children(inner, news.seed);
-    let seed = news.seed;
-    deliver(inner, seed, Message::Records(news), children).await;
+pub(crate) async fn relay(inner: &Inner, update: Update) {
+    let children = children(inner, update.seed);
+    let seed = update.seed;
+    deliver(inner, seed, Message::Records(update), children).await;
 }
 
 /// Relays to the own zone what this daemon, as a watcher, has read from the platform.
@@ -90,20 +90,20 @@
     }
     let seed = tree_seed(&records);
     if inner.relayed.lock().mark_update(seed) {
-        inner.enqueue(Job::Relay(News { seed, records }));
+        inner.enqueue(Job::Relay(Update { seed, records }));
     }
 }
 
 /// Sends records that originate here to all zones, and to `others` directly.
 pub(crate) async fn broadcast(inner: &Inner, records: Vec<Record>, others: &[Instance]) {
-    for batch in records.chunks(LOT) {
+    for batch in records.chunks(MAX_RECORDS) {
         let seed = tree_seed(batch);
         inner.relayed.lock().mark_update(seed);
         let mut to: BTreeSet<Instance> = children(inner, seed).into_iter().collect();
         to.extend(inner.with(|roster| roster.roots()));
         to.extend(others.iter().cloned());
         let records = batch.to_vec();
-        deliver(inner, seed, Message::Records(News { seed, records }), to).await;
+        deliver(inner, seed, Message::Records(Update { seed, records }), to).await;
     }
 }
 
--- a/crates/feed/src/rules.rs
+++ b/crates/feed/src/rules.rs
@@ -15,7 +15,7 @@
 ///
 /// For a longer text only the version is sent, and each daemon that lacks it fetches it once. That
 /// costs a round trip per level, but daemons that are reached twice don't receive the text twice.
-pub const SHORT: usize = 16_000;
+pub const MAX_PUSHED_BYTES: usize = 16_000;
 
 /// How rules came to this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,11 +54,11 @@
     let is_first = inner.current.version() == Version::NONE;
     let began = Instant::now();
     let offer = inner.current.offer_packed(version, text, packed)?;
-    if offer == Offer::Taken {
+    if offer == Offer::Accepted {
         report(inner, &arrival, text.len(), began.elapsed());
     }
     // A newly started daemon that fetches its first rules fetches what the others already have.
-    let relays = origin == Origin::Tree || (offer == Offer::Taken && !is_first);
+    let relays = origin == Origin::Tree || (offer == Offer::Accepted && !is_first);
     if relays && inner.current.version() == version {
         relay_once(inner, version);
     }
@@ -127,7 +127,7 @@
         return;
     }
     let packed = rules.packed();
-    let text = packed.filter(|packed| packed.bytes().len() <= SHORT);
+    let text = packed.filter(|packed| packed.bytes().len() <= MAX_PUSHED_BYTES);
     let children = relay::children(inner, tree_seed(version));
     let message = Message::Rules(Push { version, text });
     let mut unreached = relay::deliver(inner, tree_seed(version), message.clone(), children).await;
--- a/crates/feed/src/sync.rs
+++ b/crates/feed/src/sync.rs
@@ -7,7 +7,7 @@
 use unit::Instance;
 
 use crate::feed::Inner;
-use crate::message::{Answer, LOT, Message, Page};
+use crate::message::{Answer, MAX_RECORDS, Message, Page};
 use crate::{Error, carrier};
 
 /// How long a difference must last before rosters are compared. Updates in transit make digests
@@ -35,7 +35,7 @@
         return Err(carrier::unexpected_answer(with));
     };
     let reply = merge(inner, pages);
-    for batch in reply.chunks(LOT) {
+    for batch in reply.chunks(MAX_RECORDS) {
         let answer = inner.ask(with, &Message::Repair(batch.to_vec())).await?;
         let Answer::Records(records) = answer else {
             return Err(carrier::unexpected_answer(with));
@@ -67,7 +67,7 @@
         for bucket in roster.differing_buckets(theirs) {
             let records = roster.bucket(bucket);
             count += records.len();
-            if count > LOT && !pages.is_empty() {
+            if count > MAX_RECORDS && !pages.is_empty() {
                 break;
             }
             pages.push(Page { bucket, records });
--- a/crates/feed/src/watch.rs
+++ b/crates/feed/src/watch.rs
@@ -50,7 +50,7 @@
 
 fn backoff(inner: &Inner) -> Backoff {
     let seed = inner.jitter(Duration::from_secs(1)).as_nanos() as u64;
-    Backoff::new(MIN_PAUSE, inner.pace.pause, seed)
+    Backoff::new(MIN_PAUSE, inner.pace.max_backoff, seed)
 }
 
 /// Lists the announcements, retrying until that succeeds, and then reads the rules once.
@@ -179,9 +179,17 @@
     mut since: Version,
     backoff: &mut Backoff,
 ) -> Result<(), Error> {
-    let (key, wait, gather) = match part {
-        Part::Instances => (&inner.prefix, inner.pace.instances, inner.pace.gather),
-        Part::Rules => (&inner.rules_key, inner.pace.rules, inner.pace.gather_rules),
+    let (key, wait, pause) = match part {
+        Part::Instances => (
+            &inner.prefix,
+            inner.pace.instances_wait,
+            inner.pace.instances_pause,
+        ),
+        Part::Rules => (
+            &inner.rules_key,
+            inner.pace.rules_wait,
+            inner.pace.rules_pause,
+        ),
     };
     loop {
         let started = Instant::now();
@@ -190,8 +198,8 @@
         since = change.revision;
         apply(inner, part, &change);
         let is_empty = change.changed.is_empty() && change.deleted.is_empty();
-        if !is_empty || started.elapsed() < gather {
-            sleep(gather).await;
+        if !is_empty || started.elapsed() < pause {
+            sleep(pause).await;
         }
     }
 }
--- a/crates/feed/tests/it/fault.rs
+++ b/crates/feed/tests/it/fault.rs
@@ -218,10 +218,10 @@
     });
     let vote = pack(&vote).unwrap();
     let refused = world.nodes[3].feed.note(&from, &vote);
-    assert!(matches!(refused, Err(Error::Improper(..))));
+    assert!(matches!(refused, Err(Error::Unexpected(..))));
     let stranger = "desk-99".parse().unwrap();
     let refused = world.nodes[3].feed.note(&stranger, &vote);
-    assert!(matches!(refused, Err(Error::Stranger(_))));
+    assert!(matches!(refused, Err(Error::UnknownInstance(_))));
     assert!(world.nodes[3].feed.note(&from, b"\xff\xff").is_err());
 }
 
--- a/crates/feed/tests/it/world.rs
+++ b/crates/feed/tests/it/world.rs
@@ -117,17 +117,17 @@
         self.send(&from, payload.len()).await;
         self.hop(&from, &to).await;
         let found = self.feeds.lock().get(&to).cloned();
-        let (feed, roster) = found.ok_or_else(|| Error::Stranger(to.clone()))?;
+        let (feed, roster) = found.ok_or_else(|| Error::UnknownInstance(to.clone()))?;
         if self.mode == Mode::Greeting {
             self.greet(&from, &to);
         }
         if self.print(&to) != Some(peer.fingerprint) {
             *self.mistaken.lock().entry(from).or_default() += 1;
-            return Err(Error::Stranger(to));
+            return Err(Error::UnknownInstance(to));
         }
         let held = roster.with(|roster| roster.get(&from).map(|record| record.fingerprint));
         if self.print(&from) != held {
-            return Err(Error::Stranger(from));
+            return Err(Error::UnknownInstance(from));
         }
         let answer = feed.note(&from, &payload)?;
         self.send(&to, answer.len()).await;
@@ -365,10 +365,10 @@
     match mode {
         Mode::Pinned => Pace::default(),
         Mode::Greeting => Pace {
-            instances: Duration::from_secs(25),
-            rules: Duration::from_secs(25),
-            gather: Duration::from_secs(3),
-            pause: Duration::from_millis(1_500),
+            instances_wait: Duration::from_secs(25),
+            rules_wait: Duration::from_secs(25),
+            instances_pause: Duration::from_secs(3),
+            max_backoff: Duration::from_millis(1_500),
             ..Pace::default()
         },
     }
