--- a/crates/feed/src/fallback.rs
+++ b/crates/feed/src/fallback.rs
@@ -34,7 +34,7 @@
             Some(Ask::Platform) => {
                 if let Err(error) = read(inner).await {
                     log::warn!(
-                        "feed: no neighbour answers, and reading the platform failed: {error}."
+                        "feed: no updates received, and reading the platform failed: {error}."
                     );
                 }
             }
--- a/crates/feed/src/fetch.rs
+++ b/crates/feed/src/fetch.rs
@@ -205,7 +205,7 @@
         if !is_within_limit || !fits || piece.bytes.is_empty() || piece.length != partial.length {
             return Err(Error::Unexpected(
                 holder.clone(),
-                "piece does not follow the bytes received",
+                "piece has an unexpected offset or length",
             ));
         }
         partial.version = piece.version;
--- a/crates/feed/src/relay.rs
+++ b/crates/feed/src/relay.rs
@@ -156,7 +156,7 @@
 /// Sends to one child and, if it does not answer, to that child's children. Returns whether the
 /// child answered.
 ///
-/// Otherwise a daemon that has just stopped would cut off its part of the tree until heartbeats
+/// Without this, a daemon that has just stopped would cut off its part of the tree until heartbeats
 /// find the change some seconds later. Only one level is taken over, so that an unreachable zone
 /// costs its parents a bounded number of messages.
 async fn send(inner: &Inner, seed: u64, kind: Kind, payload: Bytes, child: &Instance) -> bool {
