--- a/crates/feed/src/carry.rs
+++ b/crates/feed/src/carrier.rs
@@ -1,4 +1,4 @@
-//! How messages get from one daemon to another.
+//! Carries messages from one daemon to another.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -10,13 +10,13 @@
 
 use crate::Error;
 
-/// The future that a [`Carrier`] answers.
-pub type Carried = Pin<Box<dyn Future<Output = Result<Bytes, Error>> + Send>>;
+/// The future that a [`Carrier`] returns.
+pub type CarrierFuture = Pin<Box<dyn Future<Output = Result<Bytes, Error>> + Send>>;
 
-/// Carries one packed message to one peer, and brings its answer.
-pub type Carrier = Arc<dyn Fn(Peer, Bytes) -> Carried + Send + Sync>;
+/// Carries one encoded message to one peer, and returns its answer.
+pub type Carrier = Arc<dyn Fn(Peer, Bytes) -> CarrierFuture + Send + Sync>;
 
-/// A carrier over the links of `dialer`.
+/// Returns a carrier over the links of `dialer`.
 pub fn over(dialer: Arc<Dialer>) -> Carrier {
     Arc::new(move |peer, payload| {
         let dialer = dialer.clone();
@@ -29,11 +29,11 @@
     Ok(link.note(Topic::Feed, payload).await?)
 }
 
-pub(crate) fn improper(peer: &Instance) -> Error {
-    Error::Improper(peer.clone(), "an answer of another kind")
+pub(crate) fn unexpected_answer(peer: &Instance) -> Error {
+    Error::Unexpected(peer.clone(), "an answer of another kind")
 }
 
-/// Where the daemon of a record is reached.
+/// Returns the peer by which the daemon of a record is dialled.
 pub fn peer(record: &Record) -> Peer {
     Peer {
         instance: record.instance.clone(),
--- a/crates/feed/src/fetch.rs
+++ b/crates/feed/src/fetch.rs
@@ -1,8 +1,8 @@
-//! Rules that are fetched from other daemons, piece by piece.
+//! Fetches rules from other daemons, piece by piece.
 //!
-//! A daemon fetches one document at a time, and keeps the pieces that have come: a holder that is
-//! stopped, cut off or slow costs one piece, and the next holder goes on where it ended. A newer
-//! document that is heard of meanwhile takes the place of the one that is being fetched.
+//! A daemon fetches one document at a time and keeps the pieces that it has received: if a holder
+//! is stopped, cut off or slow, only one piece is lost, and the next holder continues at that
+//! offset. If a newer document is reported meanwhile, it replaces the one being fetched.
 
 use std::time::Duration;
 
@@ -16,54 +16,55 @@
 use crate::job::Job;
 use crate::message::{Answer, Message};
 use crate::rules::{self, Arrival, Origin};
-use crate::{Error, Packed, carry};
+use crate::{Error, Packed, carrier};
 
-/// The longest piece in bytes.
-const PIECE: usize = 32 << 10;
+/// Maximum length of a piece in bytes.
+const MAX_PIECE_BYTES: usize = 32 << 10;
 
-/// The longest packed text in bytes. What does not pack grows by a few bytes in a thousand.
-const LONGEST: usize = Document::MAX_TEXT_BYTES + Document::MAX_TEXT_BYTES / 100;
+/// Maximum length of the packed text in bytes. Text that doesn't compress grows by a few bytes in a
+/// thousand.
+const MAX_PACKED_BYTES: usize = Document::MAX_TEXT_BYTES + Document::MAX_TEXT_BYTES / 100;
 
-/// How long a piece may take before another holder is asked.
-const PIECE_WAIT: Duration = Duration::from_secs(1);
+/// Time to wait for a piece before another holder is asked.
+const PIECE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A part of packed rules.
+/// A piece of packed rules.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
     /// The version of the rules.
     pub version: Version,
-    /// The digest of the whole of the packed bytes.
+    /// The digest of all packed bytes.
     pub digest: Digest,
-    /// The length of the whole in bytes.
+    /// The total length of the packed bytes.
     pub length: usize,
-    /// Where this part begins in it.
+    /// The offset of this piece in the packed bytes.
     pub offset: usize,
-    /// The part.
+    /// The bytes of this piece.
     pub bytes: Bytes,
 }
 
 /// Asks for the next piece of the rules in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The whole of which the asking side holds the beginning. A holder of another whole answers with
-    /// the first piece of its own.
+    /// The digest of the packed rules that the sender holds in part. A holder of other rules
+    /// answers with the first piece of its own.
     pub digest: Option<Digest>,
-    /// How many bytes of it the asking side holds.
+    /// How many of their bytes the sender holds.
     pub offset: usize,
 }
 
-/// Another daemon and the version of the rules that it has told.
+/// Another daemon and the version of the rules that it reported.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Holder {
     instance: Instance,
     version: Version,
 }
 
-/// The documents that are wanted, and the one that is coming.
+/// The known holders of newer rules, and the document that is being fetched.
 #[derive(Debug, Default)]
 pub(crate) struct Fetch {
     is_running: bool,
-    /// In the order in which they were heard of.
+    /// In the order in which they were first reported.
     holders: Vec<Holder>,
     partial: Option<Partial>,
 }
@@ -77,17 +78,17 @@
     began: Instant,
 }
 
-/// What a piece has made of the document that is coming.
+/// The result of taking in one piece.
 enum Progress {
-    /// The next piece is wanted.
+    /// More pieces are needed.
     Partial,
-    /// Nothing newer is there.
+    /// The holder has nothing newer.
     Nothing,
     Complete(Partial),
 }
 
-/// Notes that `holder` has rules of `version`, and has them fetched if they are wanted.
-pub(crate) fn heard(inner: &Inner, holder: &Instance, version: Version) {
+/// Records that `holder` has rules of `version`, and starts a fetch if they are wanted.
+pub(crate) fn add_holder(inner: &Inner, holder: &Instance, version: Version) {
     if !inner.current.wants(version) {
         return;
     }
@@ -104,33 +105,33 @@
         }),
     }
     if !fetch.is_running {
-        inner.later(Job::Fetch);
+        inner.enqueue(Job::Fetch);
     }
 }
 
-/// Fetches the newest rules that were heard of, until none are wanted or no holder is left.
+/// Fetches the newest reported rules, until none are wanted or no holder is left.
 pub(crate) async fn run(inner: &Inner) {
     if std::mem::replace(&mut inner.fetch.lock().is_running, true) {
         return;
     }
-    while let Some(holder) = next(inner) {
-        match piece(inner, &holder.instance).await {
+    while let Some(holder) = next_holder(inner) {
+        match fetch_piece(inner, &holder.instance).await {
             Ok(Progress::Partial) => {}
-            Ok(Progress::Nothing) => forget(inner, &holder.instance),
+            Ok(Progress::Nothing) => remove_holder(inner, &holder.instance),
             Ok(Progress::Complete(partial)) => offer(inner, &holder.instance, partial),
             Err(error) => {
                 inner.stats.fetches_failed.inc();
                 let Holder { instance, version } = &holder;
                 log::warn!("feed: rules {version} not fetched from {instance}: {error}.");
-                forget(inner, instance);
-                look_around(inner);
+                remove_holder(inner, instance);
+                probe_observers(inner);
             }
         }
     }
 }
 
-/// The first holder of the newest version that is wanted.
-fn next(inner: &Inner) -> Option<Holder> {
+/// Returns the first holder of the newest version that is wanted.
+fn next_holder(inner: &Inner) -> Option<Holder> {
     let mut fetch = inner.fetch.lock();
     fetch
         .holders
@@ -142,7 +143,7 @@
         .find(|holder| Some(holder.version) == newest);
     let holder = holder.cloned();
     if holder.is_none() {
-        // Under the same lock: whoever is heard of from here on has a run of its own.
+        // Reset under the same lock, so that a holder reported from here on starts a new run.
         fetch.is_running = false;
         let partial = fetch.partial.take();
         fetch.partial = partial.filter(|partial| inner.current.wants(partial.version));
@@ -150,30 +151,30 @@
     holder
 }
 
-fn forget(inner: &Inner, holder: &Instance) {
+fn remove_holder(inner: &Inner, holder: &Instance) {
     let mut fetch = inner.fetch.lock();
     fetch.holders.retain(|known| known.instance != *holder);
 }
 
-/// Asks the observers what they hold, if no other holder is known.
-fn look_around(inner: &Inner) {
+/// Probes the observers if no other holder is known.
+fn probe_observers(inner: &Inner) {
     if inner.fetch.lock().holders.is_empty() {
         for observer in inner.with(|roster| roster.heartbeat_receivers()) {
-            inner.later(Job::Probe(observer));
+            inner.enqueue(Job::Probe(observer));
         }
     }
 }
 
-async fn piece(inner: &Inner, holder: &Instance) -> Result<Progress, Error> {
+async fn fetch_piece(inner: &Inner, holder: &Instance) -> Result<Progress, Error> {
     let ask = inner.fetch.lock().ask();
     let message = Message::Ask(ask);
     let payload = wire::codec::pack(&message)?;
-    let answer = inner.ask_packed(holder, message.kind(), payload, PIECE_WAIT);
+    let answer = inner.ask_packed(holder, message.kind(), payload, PIECE_TIMEOUT);
     match answer.await? {
         Answer::Piece(None) => Ok(Progress::Nothing),
         Answer::Piece(Some(piece)) if !inner.current.wants(piece.version) => Ok(Progress::Nothing),
-        Answer::Piece(Some(piece)) => inner.fetch.lock().take(holder, piece),
-        _ => Err(carry::improper(holder)),
+        Answer::Piece(Some(piece)) => inner.fetch.lock().append(holder, piece),
+        _ => Err(carrier::unexpected_answer(holder)),
     }
 }
 
@@ -186,8 +187,8 @@
         }
     }
 
-    /// Adds a piece to what has come; one of another document begins anew.
-    fn take(&mut self, holder: &Instance, piece: Piece) -> Result<Progress, Error> {
+    /// Appends a piece to those received; a piece of another document starts anew.
+    fn append(&mut self, holder: &Instance, piece: Piece) -> Result<Progress, Error> {
         let known = self.partial.take();
         let known = known.filter(|known| known.digest == piece.digest);
         let mut partial = known.unwrap_or_else(|| Partial {
@@ -198,11 +199,14 @@
             began: Instant::now(),
         });
         let end = piece.offset.checked_add(piece.bytes.len());
-        let is_short = piece.length <= LONGEST;
+        let is_within_limit = piece.length <= MAX_PACKED_BYTES;
         let fits =
             piece.offset == partial.bytes.len() && end.is_some_and(|end| end <= piece.length);
-        if !is_short || !fits || piece.bytes.is_empty() || piece.length != partial.length {
-            return Err(Error::Improper(holder.clone(), "a piece that doesn't fit"));
+        if !is_within_limit || !fits || piece.bytes.is_empty() || piece.length != partial.length {
+            return Err(Error::Unexpected(
+                holder.clone(),
+                "piece has an unexpected offset or length",
+            ));
         }
         partial.version = piece.version;
         partial.bytes.extend(piece.bytes);
@@ -211,30 +215,34 @@
             return Ok(Progress::Partial);
         }
         if Digest::of(&partial.bytes) != partial.digest {
-            return Err(Error::Improper(holder.clone(), "pieces of another whole"));
+            return Err(Error::Unexpected(
+                holder.clone(),
+                "digest of the received pieces does not match",
+            ));
         }
         Ok(Progress::Complete(partial))
     }
 }
 
-/// Offers rules that have come whole. A holder whose rules can't be unpacked is asked no more.
+/// Offers rules of which all pieces have been received. A holder whose rules can't be unpacked is
+/// not asked again.
 fn offer(inner: &Inner, from: &Instance, partial: Partial) {
     let version = partial.version;
     let fetched = partial.began.elapsed();
     inner.stats.fetched.observe(fetched.as_secs_f64());
     let arrival = Arrival {
         version,
-        origin: Origin::Asked,
+        origin: Origin::Requested,
         from: Some(from),
         fetched,
     };
     rules::unpack(inner, arrival, Packed::from(Bytes::from(partial.bytes)));
     if inner.current.wants(version) {
-        forget(inner, from);
+        remove_holder(inner, from);
     }
 }
 
-/// The piece of the rules in force that `ask` names.
+/// Returns the piece of the rules in force for which `ask` asks.
 pub(crate) fn answer(inner: &Inner, ask: Ask) -> Option<Piece> {
     let rules = inner.current.get()?;
     let packed = rules.packed()?;
@@ -242,7 +250,7 @@
     let offset = ask.digest.filter(|asked| *asked == digest);
     let offset = offset.map_or(0, |_| ask.offset);
     let bytes = packed.bytes();
-    let end = offset.saturating_add(PIECE).min(bytes.len());
+    let end = offset.saturating_add(MAX_PIECE_BYTES).min(bytes.len());
     (offset < end).then(|| Piece {
         version: rules.version,
         digest,
