--- a/crates/jsonc/src/fields.rs
+++ b/crates/jsonc/src/fields.rs
@@ -1,35 +1,35 @@
-//! The fields of one object of a document.
+//! Access to the fields of an object in a document.
 
 use jsonc_parser::ast::{Object, ObjectProp, Value};
 
-/// The fields of one object, each known to stand there once.
+/// The fields of one object. Duplicate names have already been recorded as faults.
 #[derive(Debug, Clone, Copy)]
 pub struct Fields<'v, 't> {
     object: &'v Object<'t>,
 }
 
-/// One field of an object whose names are free.
+/// One field of an object.
 #[derive(Debug, Clone, Copy)]
 pub struct Field<'v, 't> {
-    /// The field's name.
+    /// The name of the field.
     pub name: &'v str,
-    /// The byte offset of the name.
+    /// The byte offset of the name in the text.
     pub at: usize,
-    /// The field's value.
+    /// The value of the field.
     pub value: &'v Value<'t>,
 }
 
 impl<'v, 't> Fields<'v, 't> {
-    pub(crate) fn of(object: &'v Object<'t>) -> Fields<'v, 't> {
+    pub(crate) fn new(object: &'v Object<'t>) -> Fields<'v, 't> {
         Fields { object }
     }
 
-    /// The byte offset of the object's opening brace, for faults about what is missing.
+    /// The byte offset of the object's opening brace, where a missing field is reported.
     pub fn at(&self) -> usize {
         self.object.range.start
     }
 
-    /// The value of the field `name`, if it is given.
+    /// The value of the field `name`, if present.
     pub fn get(&self, name: &str) -> Option<&'v Value<'t>> {
         self.iter()
             .find(|field| field.name == name)
--- a/crates/jsonc/src/lib.rs
+++ b/crates/jsonc/src/lib.rs
@@ -1,17 +1,17 @@
-//! Reads JSON with comments and gives every fault its line, column and cause.
+//! Reads JSON with comments and reports every fault with its line, column and cause.
 //!
-//! We walk the parsed tree by hand instead of through serde: serde stops at the first fault and
-//! knows no positions behind a `try_from`, while an operator wants the whole list at once.
-//! Comments and trailing commas are taken; the looser forms of JSON5 are refused, because a
-//! document is also read by the operators' other tools.
+//! The syntax tree is walked directly instead of through serde: serde stops at the first error and
+//! loses the position behind a `try_from`, while an operator needs the complete list at once.
+//! Comments and trailing commas are accepted. The more lenient syntax of JSON5 is rejected, because
+//! operators also read these documents with other tools.
 //!
 //! ```
-//! let read = jsonc::read("{ \"slots\": 12, \"slotz\": 1 }", 1_000, |reader, root| {
+//! let result = jsonc::read("{ \"slots\": 12, \"slotz\": 1 }", 1_000, |reader, root| {
 //!     let fields = reader.object(root, &["slots"])?;
 //!     let slots = fields.get("slots")?;
 //!     reader.whole(slots, 1..=10)
 //! });
-//! let error = read.expect_err("two faults");
+//! let error = result.expect_err("two faults");
 //! assert_eq!(
 //!     error.to_string(),
 //!     "line 1, column 12: 12 is out of range: expected a whole number from 1 to 10\n\
--- a/crates/jsonc/src/lines.rs
+++ b/crates/jsonc/src/lines.rs
@@ -1,8 +1,8 @@
-//! Finds the line and column of an offset.
+//! Converts byte offsets to lines and columns.
 
 use crate::Position;
 
-/// Where the lines of a text begin.
+/// An index of the line starts of a text.
 #[derive(Debug, Clone)]
 pub struct Lines<'t> {
     text: &'t str,
@@ -10,19 +10,19 @@
 }
 
 impl<'t> Lines<'t> {
-    /// Looks through `text` once for its lines.
+    /// Scans `text` once and records where its lines start.
     pub fn of(text: &'t str) -> Lines<'t> {
-        let ends = text.match_indices('\n').map(|(at, _)| at + 1);
+        let after_breaks = text.match_indices('\n').map(|(at, _)| at + 1);
         Lines {
             text,
-            starts: std::iter::once(0).chain(ends).collect(),
+            starts: std::iter::once(0).chain(after_breaks).collect(),
         }
     }
 
-    /// The place of the byte at offset `at`.
+    /// The position of the byte at offset `at`.
     ///
-    /// It counts the characters of the line before `at`: ask only for places that are shown, since
-    /// a document may be one line of a megabyte.
+    /// The cost is linear in the length of the line before `at`. Call it only for positions that
+    /// are shown, since a document may consist of a single line of a megabyte.
     pub fn position(&self, at: usize) -> Position {
         let line = self.starts.partition_point(|start| *start <= at).max(1);
         let start = self.starts[line - 1];
--- a/crates/jsonc/src/reader.rs
+++ b/crates/jsonc/src/reader.rs
@@ -1,4 +1,4 @@
-//! Walks a parsed document and collects its faults.
+//! Converts a parsed document to Rust types and collects its faults.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -11,14 +11,15 @@
 
 use crate::{Error, Fault, Field, Fields, Lines, Position};
 
-/// Most faults that are listed of one document.
+/// The maximum number of faults reported for one document.
 ///
-/// A wrong file, say a page of a proxy's error, would else fill the operator's screen.
+/// Without a limit, a wrong file such as a proxy's error page would fill the operator's screen.
 const MAX_FAULTS: usize = 200;
 
-/// Turns values into Rust types and notes a fault for each that does not fit.
+/// Converts values to Rust types and records a fault for each value that is not allowed.
 ///
-/// Every method gives `None` after it has noted a fault, so a caller reads on and finds the rest.
+/// A method that cannot return a value records a fault and returns `None`, so that the caller can
+/// read on and find the remaining faults. [`read()`] fails if any fault was recorded.
 #[derive(Debug)]
 pub struct Reader<'t> {
     text: &'t str,
@@ -26,23 +27,24 @@
     faults: Vec<Fault>,
 }
 
-/// Reads `text` of at most `max` bytes with `build`, which turns the tree into a `T`.
+/// Parses `text` of at most `max` bytes and converts its root value to a `T` with `build`.
 ///
 /// # Errors
 ///
-/// All faults that `build` noted, or the one place where the text is no JSON with comments.
+/// Returns the faults that `build` recorded, up to a fixed number, or a single fault if the text is
+/// too long, empty or not valid JSON with comments.
 pub fn read<'t, T>(
     text: &'t str,
     max: usize,
     build: impl FnOnce(&mut Reader<'t>, &Value<'t>) -> Option<T>,
 ) -> Result<T, Error> {
-    let mut reader = Reader::of(text);
+    let mut reader = Reader::new(text);
     if text.len() > max {
         let cause = format!("{} bytes are too many: expected at most {max}", text.len());
         reader.fault(0, cause);
         return Err(reader.into_error());
     }
-    let Some(root) = reader.tree() else {
+    let Some(root) = reader.parse() else {
         return Err(reader.into_error());
     };
     let built = build(&mut reader, &root);
@@ -53,7 +55,7 @@
 }
 
 impl<'t> Reader<'t> {
-    fn of(text: &'t str) -> Reader<'t> {
+    fn new(text: &'t str) -> Reader<'t> {
         Reader {
             text,
             lines: Lines::of(text),
@@ -61,8 +63,8 @@
         }
     }
 
-    fn tree(&mut self) -> Option<Value<'t>> {
-        let parsed = parse_to_ast(self.text, &CollectOptions::default(), &options());
+    fn parse(&mut self) -> Option<Value<'t>> {
+        let parsed = parse_to_ast(self.text, &CollectOptions::default(), &parse_options());
         match parsed {
             Ok(result) if result.value.is_some() => result.value,
             Ok(_) => {
@@ -85,12 +87,12 @@
         Error::Faults(self.faults)
     }
 
-    /// The place of the byte at offset `at`.
+    /// The position of the byte at offset `at`.
     pub fn position(&self, at: usize) -> Position {
         self.lines.position(at)
     }
 
-    /// Notes a fault at the byte offset `at`.
+    /// Records a fault at the byte offset `at`, unless the maximum number is reached.
     pub fn fault(&mut self, at: usize, cause: impl Into<String>) {
         if self.faults.len() >= MAX_FAULTS {
             return;
@@ -104,7 +106,7 @@
         });
     }
 
-    /// Notes a fault at a value.
+    /// Records a fault at the start of `value`.
     pub fn fault_at(&mut self, value: &Value<'t>, cause: impl Into<String>) {
         self.fault(value.start(), cause);
     }
@@ -114,29 +116,35 @@
         self.fault_at(value, cause);
     }
 
-    /// The fields of an object that knows `allowed` only.
+    /// The fields of an object. Each field that is not in `allowed` is recorded as a fault.
     pub fn object<'v>(&mut self, value: &'v Value<'t>, allowed: &[&str]) -> Option<Fields<'v, 't>> {
         let expected = format!("an object of {}", one_of(allowed));
-        let object = self.whole_object(value, &expected)?;
-        let fields = Fields::of(object);
+        let object = self.checked_object(value, &expected)?;
+        let fields = Fields::new(object);
         for field in fields.iter() {
             self.check_known(&field, allowed);
         }
         Some(fields)
     }
 
-    /// The fields of an object whose names are free.
+    /// The fields of an object with arbitrary names. `expected` describes the object in the fault
+    /// for any other type.
     pub fn entries<'v>(&mut self, value: &'v Value<'t>, expected: &str) -> Option<Fields<'v, 't>> {
-        self.whole_object(value, expected).map(Fields::of)
+        self.checked_object(value, expected).map(Fields::new)
     }
 
-    fn whole_object<'v>(&mut self, value: &'v Value<'t>, expected: &str) -> Option<&'v Object<'t>> {
+    /// The object in `value`. Each repeated field is recorded as a fault.
+    fn checked_object<'v>(
+        &mut self,
+        value: &'v Value<'t>,
+        expected: &str,
+    ) -> Option<&'v Object<'t>> {
         let Value::Object(object) = value else {
             self.mismatch(value, expected);
             return None;
         };
         let mut seen = BTreeSet::new();
-        for field in Fields::of(object).iter() {
+        for field in Fields::new(object).iter() {
             if !seen.insert(field.name) {
                 let cause = format!("field {:?} is given twice: expected it once", field.name);
                 self.fault(field.at, cause);
@@ -156,7 +164,7 @@
         }
     }
 
-    /// The value of a field that must be given.
+    /// The value of a required field.
     pub fn required<'v>(&mut self, fields: &Fields<'v, 't>, name: &str) -> Option<&'v Value<'t>> {
         let found = fields.get(name);
         if found.is_none() {
@@ -165,7 +173,7 @@
         found
     }
 
-    /// A text.
+    /// The contents of a string.
     pub fn text<'v>(&mut self, value: &'v Value<'t>) -> Option<&'v str> {
         let Value::StringLit(text) = value else {
             self.mismatch(value, "a text in double quotes");
@@ -174,7 +182,7 @@
         Some(&text.value)
     }
 
-    /// A text that `T` parses.
+    /// A string, parsed as a `T`.
     pub fn parsed<T>(&mut self, value: &Value<'t>) -> Option<T>
     where
         T: FromStr,
@@ -190,7 +198,7 @@
         }
     }
 
-    /// A text that is one of the names of `choices`, as the thing named.
+    /// A string that is one of the names in `choices`, converted to the value paired with the name.
     pub fn choice<T: Clone>(&mut self, value: &Value<'t>, choices: &[(&str, T)]) -> Option<T> {
         let text = self.text(value)?;
         let found = choices.iter().find(|(name, _)| *name == text);
@@ -204,14 +212,14 @@
         found.map(|(_, choice)| choice.clone())
     }
 
-    /// A whole number within `range`.
+    /// An integer within `range`.
     pub fn whole(&mut self, value: &Value<'t>, range: RangeInclusive<u64>) -> Option<u64> {
         let expected = format!("a whole number from {} to {}", range.start(), range.end());
         let Value::NumberLit(number) = value else {
             self.mismatch(value, &expected);
             return None;
         };
-        let found = digits(number).filter(|found| range.contains(found));
+        let found = parse_u64(number).filter(|found| range.contains(found));
         if found.is_none() {
             let cause = format!("{} is out of range: expected {expected}", number.value);
             self.fault_at(value, cause);
@@ -219,15 +227,15 @@
         found
     }
 
-    /// A whole number within `range`, as `u32`.
+    /// An integer within `range`, as `u32`.
     pub fn count(&mut self, value: &Value<'t>, range: RangeInclusive<u32>) -> Option<u32> {
         let wide = u64::from(*range.start())..=u64::from(*range.end());
         let found = self.whole(value, wide)?;
         u32::try_from(found).ok()
     }
 
-    /// The text of a number, which may stand in quotes. Where another system fills the quotes in, they
-    /// are empty if it has no such number.
+    /// The unparsed text of a number, which may be quoted. If another system fills in the quoted
+    /// text, it is empty where that system has no such number.
     pub fn numeral<'v>(&mut self, value: &'v Value<'t>) -> Option<&'v str> {
         match value {
             Value::NumberLit(number) => Some(number.value),
@@ -239,7 +247,7 @@
         }
     }
 
-    /// `true` or `false`.
+    /// A boolean.
     pub fn flag(&mut self, value: &Value<'t>) -> Option<bool> {
         let Value::BooleanLit(flag) = value else {
             self.mismatch(value, "true or false");
@@ -248,7 +256,7 @@
         Some(flag.value)
     }
 
-    /// The elements of a list with at least one and at most `max`.
+    /// The elements of a list of 1 to `max` elements.
     pub fn list<'v>(&mut self, value: &'v Value<'t>, max: usize) -> Option<&'v [Value<'t>]> {
         let Value::Array(array) = value else {
             self.mismatch(value, "a list");
@@ -263,7 +271,7 @@
         Some(&array.elements)
     }
 
-    /// A single value, or a list of at most `max` of them.
+    /// A single value, or the elements of a list of 1 to `max` values.
     pub fn one_or_list<'v>(&mut self, value: &'v Value<'t>, max: usize) -> Option<&'v [Value<'t>]> {
         match value {
             Value::Array(_) => self.list(value, max),
@@ -272,11 +280,11 @@
     }
 }
 
-fn digits(number: &NumberLit<'_>) -> Option<u64> {
+fn parse_u64(number: &NumberLit<'_>) -> Option<u64> {
     number.value.parse().ok()
 }
 
-fn options() -> ParseOptions {
+fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
         allow_trailing_commas: true,
@@ -309,7 +317,7 @@
     }
 }
 
-/// The byte offset at which a value begins, for [`Reader::position`] and [`Reader::fault`].
+/// The byte offset at which `value` starts, for [`Reader::position`] and [`Reader::fault`].
 pub fn offset(value: &Value<'_>) -> usize {
     value.start()
 }
--- a/crates/jsonc/tests/read.rs
+++ b/crates/jsonc/tests/read.rs
@@ -1,4 +1,4 @@
-//! Places, bounds and forms that are refused.
+//! Positions of faults, limits, and syntax that is rejected.
 
 use jsonc::{Error, read};
 
@@ -7,14 +7,14 @@
         reader.object(root, &[]).map(|_| ())
     });
     let Err(error) = result else {
-        return "taken".to_string();
+        return "accepted".to_string();
     };
     error.to_string()
 }
 
 #[test]
-fn takes_comments_and_trailing_commas_only() {
-    assert_eq!(fault("/* a */ {} // b"), "taken");
+fn accepts_only_comments_and_trailing_commas() {
+    assert_eq!(fault("/* a */ {} // b"), "accepted");
     for text in [
         "{ a: 1 }",
         "{ 'a': 1 }",
