--- a/crates/setting/src/address.rs
+++ b/crates/setting/src/address.rs
@@ -1,47 +1,49 @@
-//! Reads addresses: an IP number and a port, as a process learns its places from its settings.
+//! Reads socket addresses, each an IP address and a port.
 
 use std::net::SocketAddr;
 
 use jsonc::{Fields, Reader, Value};
 
-/// An address together with where it stands in the text.
+/// An address with the name and the position of the value that gave it.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Place {
+pub(crate) struct Endpoint {
+    /// The name of the field.
     pub(crate) name: &'static str,
     pub(crate) address: SocketAddr,
     /// The byte offset of the address in the text.
-    pub(crate) at: usize,
+    pub(crate) offset: usize,
 }
 
-/// Reads the address in the field `name`.
+/// Reads the address in the required field `name`.
 pub(crate) fn required<'t>(
     reader: &mut Reader<'t>,
     fields: &Fields<'_, 't>,
     name: &'static str,
-) -> Option<Place> {
+) -> Option<Endpoint> {
     let value = reader.required(fields, name)?;
     read(reader, value, name)
 }
 
-/// Reads the address in the field `name`, if it is given.
+/// Reads the address in the field `name`, if present.
 pub(crate) fn optional<'t>(
     reader: &mut Reader<'t>,
     fields: &Fields<'_, 't>,
     name: &'static str,
 ) -> Option<SocketAddr> {
     let value = fields.get(name)?;
-    read(reader, value, name).map(|place| place.address)
+    read(reader, value, name).map(|endpoint| endpoint.address)
 }
 
+/// Reads an address from `value`, which belongs to the field `name`.
 pub(crate) fn read<'t>(
     reader: &mut Reader<'t>,
     value: &Value<'t>,
     name: &'static str,
-) -> Option<Place> {
+) -> Option<Endpoint> {
     let text = reader.text(value)?;
     let Ok(address) = text.parse::<SocketAddr>() else {
         let cause = format!(
-            "{text:?} is no address: expected an IP number and a port such as 10.0.0.7:7400 or \
+            "{text:?} is not an address: expected an IP number and a port such as 10.0.0.7:7400 or \
              [::1]:7400"
         );
         reader.fault_at(value, cause);
@@ -52,9 +54,9 @@
         reader.fault_at(value, cause);
         return None;
     }
-    Some(Place {
+    Some(Endpoint {
         name,
         address,
-        at: jsonc::offset(value),
+        offset: jsonc::offset(value),
     })
 }
--- a/crates/setting/src/lib.rs
+++ b/crates/setting/src/lib.rs
@@ -1,7 +1,8 @@
-//! The settings of one daemon, checked whole before start.
+//! The settings of one daemon, validated in full before it starts.
 //!
-//! Settings say where a process is and what it may use; what it does with requests stands in the
-//! rules. They are JSON with comments. A daemon reads them once: to change them, it is restarted.
+//! The settings define the addresses and the resource limits of a process; the rules define how it
+//! handles requests. Settings are written as JSON with comments. A daemon reads them once, so a
+//! change requires a restart.
 //!
 //! ```
 //! use setting::Setting;
@@ -10,9 +11,9 @@
 //! assert_eq!(setting.instance.as_str(), "vault-desk-1");
 //! assert_eq!(setting.limits.depth, 9);
 //!
-//! let error = Setting::parse("{ \"instans\": \"vault-desk-1\" }").expect_err("no settings");
+//! let error = Setting::parse("{ \"instans\": \"vault-desk-1\" }").expect_err("unknown field");
 //! assert!(error.to_string().contains("line 1, column 3: unknown field \"instans\""));
-//! assert!(error.faults().len() > 5, "all faults are listed at once");
+//! assert!(error.faults().len() > 5, "all faults are reported at once");
 //! # Ok::<(), setting::Error>(())
 //! ```
 
@@ -32,98 +33,101 @@
 pub use limits::Limits;
 pub use retry::Retry;
 
-/// How daemons reach each other.
+/// The transport of the links between daemons.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Links {
-    /// By QUIC, with certificates that are pinned to announcements.
+    /// QUIC, with certificates pinned to the announcements.
     #[default]
     Quic,
-    /// By TCP, for networks on which only daemons reach each other.
+    /// TCP, for networks on which only daemons can reach each other.
     Tcp,
 }
 
-/// How lines of the log are written.
+/// The format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Words and `key=value` pairs.
+    /// Plain text with `key=value` pairs.
     #[default]
     Text,
-    /// JSON objects.
+    /// One JSON object per line.
     Json,
 }
 
 /// The settings of one daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Setting {
-    /// The name of this instance, alone of its kind in the fleet.
+    /// The name of this instance, unique in the fleet.
     pub instance: Instance,
     /// The availability zone of this instance.
     pub zone: Zone,
     /// The region of the zone; `local` by default.
     pub region: String,
-    /// The service that the target of this daemon belongs to.
+    /// The service that this daemon's target belongs to.
     pub service: Service,
-    /// Where outside callers send their requests, HTTP over TCP; `outbound` with `one_port`.
+    /// The address for requests of outside callers, HTTP over TCP; equal to `outbound` with
+    /// `one_port`.
     pub callers: SocketAddr,
-    /// Whether callers use `outbound` too, where the target is known by its address; `false` by
-    /// default.
+    /// Whether callers use `outbound` too, in which case the target is recognized by its address;
+    /// `false` by default.
     pub one_port: bool,
-    /// Where the platform asks whether this daemon takes requests; not at all by default.
+    /// The address at which the platform checks whether this daemon accepts requests; none by
+    /// default.
     pub readiness: Option<SocketAddr>,
-    /// Where the target announces itself; not at all by default.
+    /// The address at which the target announces itself; none by default.
     pub control: Option<SocketAddr>,
-    /// The time between two announcements of the target; with it `slots` counts only until the
-    /// first of them.
+    /// The interval between announcements of the target. If set, `slots` applies only until the
+    /// first announcement.
     pub heartbeat: Option<Duration>,
-    /// How links are carried; QUIC by default.
+    /// The transport of links; QUIC by default.
     pub links: Links,
-    /// What the entries of the fleet may send again.
+    /// The retry budget of the fleet's entries.
     pub retry: Retry,
-    /// Where the target sends its nested calls, HTTP over TCP; the target's machine only.
+    /// The address for the target's nested calls, HTTP over TCP; reachable only from the target's
+    /// machine.
     pub outbound: SocketAddr,
-    /// Where this daemon takes links of other daemons, over UDP for QUIC.
+    /// The address at which this daemon accepts links from other daemons; UDP for QUIC.
     pub link: SocketAddr,
-    /// Where other daemons reach `link`, and what is announced to them: `link` itself by default.
-    /// It differs where something between the daemons maps addresses or ports.
+    /// The address of `link` that is announced to other daemons; equal to `link` by default. It
+    /// differs if addresses or ports are translated between the daemons.
     pub link_announced: SocketAddr,
-    /// Where operators read metrics and dumps, HTTP over TCP.
+    /// The address at which operators read metrics and dumps, HTTP over TCP.
     pub operator: SocketAddr,
-    /// Whether `operator` may be reached from other machines; `false` by default.
+    /// Whether `operator` may be reachable from other machines; `false` by default.
     pub operator_public: bool,
-    /// The target itself, HTTP over TCP.
+    /// The address of the target, HTTP over TCP.
     pub target: SocketAddr,
-    /// Requests that the target runs at once at most.
+    /// The maximum number of requests that the target runs concurrently.
     pub slots: u32,
     /// The addresses of the platform's store, 1 to 8.
     pub store: Vec<SocketAddr>,
-    /// The store's key of the rules; `rules` by default.
+    /// The store key that holds the rules; `rules` by default.
     pub rules_key: String,
-    /// What the keys of announcements begin with; `instances/` by default.
+    /// The key prefix of announcements in the store; `instances/` by default.
     pub announce_prefix: String,
-    /// What the keys of the ledger begin with; `ledger/` by default.
+    /// The key prefix of the ledger in the store; `ledger/` by default.
     pub ledger_prefix: String,
-    /// The bounds of this process.
+    /// The resource limits of this process.
     pub limits: Limits,
-    /// The least level that is logged; `info` by default.
+    /// The least severe level that is logged; `info` by default.
     pub log: LevelFilter,
-    /// How lines of the log are written; `text` by default.
+    /// The format of log lines; `text` by default.
     pub log_format: LogFormat,
-    /// Worker threads; the runtime's own choice where none is given.
+    /// The number of worker threads; chosen by the runtime if `None`.
     pub threads: Option<u32>,
 }
 
 impl Setting {
-    /// Reads the settings.
+    /// Parses and validates the settings.
     ///
     /// # Errors
     ///
-    /// All faults of the text, with line, column, cause and what is allowed; only the first where
-    /// the text is no JSON with comments at all.
+    /// Returns the faults with line, column, cause and what is allowed, or only the first one if
+    /// the text is not valid JSON with comments.
     pub fn parse(text: &str) -> Result<Setting, Error> {
         read::setting(text)
     }
 
-    /// A commented example, with each field in it.
+    /// A commented example that contains every field.
     pub fn example() -> &'static str {
         include_str!("example.jsonc")
     }
--- a/crates/setting/src/limits.rs
+++ b/crates/setting/src/limits.rs
@@ -1,4 +1,4 @@
-//! The bounds of one process.
+//! The resource limits of one process.
 
 use std::time::Duration;
 
@@ -16,37 +16,39 @@
     "drain",
 ];
 
-const HEAD: Range<Size> = Range(Size::of(1_000), Size::of(1_000_000));
-const BODY: Range<Size> = Range(Size::of(0), Size::of(10_000_000_000));
-const IDLE: Range<Span> = Range(seconds(1), seconds(3_600));
-const HEAD_TIMEOUT: Range<Span> = Range(Span(Duration::from_millis(100)), seconds(300));
-const DRAIN: Range<Span> = Range(Span(Duration::from_millis(100)), seconds(86_400));
+const HEAD_RANGE: Range<Size> = Range(Size::of(1_000), Size::of(1_000_000));
+const BODY_RANGE: Range<Size> = Range(Size::of(0), Size::of(10_000_000_000));
+const IDLE_RANGE: Range<Span> = Range(seconds(1), seconds(3_600));
+const HEAD_TIMEOUT_RANGE: Range<Span> = Range(Span(Duration::from_millis(100)), seconds(300));
+const DRAIN_RANGE: Range<Span> = Range(Span(Duration::from_millis(100)), seconds(86_400));
 const MAX_CONNECTIONS: u32 = 1_000_000;
 const MAX_QUEUE: u32 = 10_000;
 const MAX_DEPTH: u32 = 64;
 
-/// The least and the greatest that is taken.
+/// The smallest and the largest value that is accepted.
 #[derive(Debug, Clone, Copy)]
 struct Range<T>(T, T);
 
-/// The bounds of one process.
+/// The resource limits of one process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// The longest head of a request; 64 KB by default.
+    /// The maximum size of a request head; 64 KB by default.
     pub head: Size,
-    /// The longest body of a request; 64 MB by default.
+    /// The maximum size of a request body; 64 MB by default.
     pub body: Size,
-    /// How long a caller's connection may lie idle; 60 s by default.
+    /// How long a caller's connection may be idle; 60 s by default.
     pub idle: Span,
-    /// How long a caller may take to send the head of a request; 10 s by default.
+    /// How long a caller may take to send a request head; 10 s by default.
     pub head_timeout: Span,
-    /// Connections of callers at once; 4,096 by default.
+    /// The maximum number of concurrent connections of callers; 4,096 by default.
     pub connections: u32,
-    /// Requests that may wait at the gate for each that the gate lets run; 64 by default.
+    /// The maximum number of requests queued at the gate for each request that the gate lets run
+    /// concurrently; 64 by default.
     pub queue: u32,
-    /// How many calls deep a nested call may be; 9 by default.
+    /// The maximum depth of nested calls; 9 by default.
     pub depth: u8,
-    /// How long a planned stop waits for running requests; reported when hit. 120 s by default.
+    /// How long a planned stop waits for running requests; 120 s by default. Reaching this limit is
+    /// reported.
     pub drain: Span,
 }
 
@@ -73,20 +75,21 @@
     let fields = reader.object(value, &FIELDS)?;
     let default = Limits::default();
     Some(Limits {
-        head: bounded(reader, &fields, "head", HEAD).unwrap_or(default.head),
-        body: bounded(reader, &fields, "body", BODY).unwrap_or(default.body),
-        idle: bounded(reader, &fields, "idle", IDLE).unwrap_or(default.idle),
-        head_timeout: bounded(reader, &fields, "head_timeout", HEAD_TIMEOUT)
+        head: bounded(reader, &fields, "head", HEAD_RANGE).unwrap_or(default.head),
+        body: bounded(reader, &fields, "body", BODY_RANGE).unwrap_or(default.body),
+        idle: bounded(reader, &fields, "idle", IDLE_RANGE).unwrap_or(default.idle),
+        head_timeout: bounded(reader, &fields, "head_timeout", HEAD_TIMEOUT_RANGE)
             .unwrap_or(default.head_timeout),
         connections: count(reader, &fields, "connections", MAX_CONNECTIONS)
             .unwrap_or(default.connections),
         queue: count(reader, &fields, "queue", MAX_QUEUE).unwrap_or(default.queue),
         depth: depth(reader, &fields).unwrap_or(default.depth),
-        drain: bounded(reader, &fields, "drain", DRAIN).unwrap_or(default.drain),
+        drain: bounded(reader, &fields, "drain", DRAIN_RANGE).unwrap_or(default.drain),
     })
 }
 
-/// Reads one limit; a fault is noted, and the default stands in for it until the end.
+/// Reads one limit if present. After a fault, the caller continues with the default so that later
+/// faults are found too.
 fn bounded<'t, T>(
     reader: &mut Reader<'t>,
     fields: &Fields<'_, 't>,
--- a/crates/setting/src/read.rs
+++ b/crates/setting/src/read.rs
@@ -1,4 +1,4 @@
-//! Turns the text of the settings into a [`Setting`].
+//! Parses the text of the settings into a [`Setting`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use log::LevelFilter;
 use unit::{Decimal, Span};
 
-use crate::address::{self, Place};
+use crate::address::{self, Endpoint};
 use crate::{Limits, Links, LogFormat, Setting, check, limits, retry};
 
 const FIELDS: [&str; 26] = [
@@ -48,28 +48,28 @@
     ("trace", LevelFilter::Trace),
 ];
 
-/// Longest text of the settings in bytes.
-const MAX_TEXT: usize = 100_000;
+const MAX_TEXT_BYTES: usize = 100_000;
 const MAX_SLOTS: u32 = 10_000;
-const MAX_STORE: usize = 8;
+const MAX_STORE_ADDRESSES: usize = 8;
 const MAX_THREADS: u32 = 1_024;
-const MAX_KEY: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 const MAX_HEARTBEAT: Duration = Duration::from_secs(600);
 
 const FORMATS: [(&str, LogFormat); 2] = [("text", LogFormat::Text), ("json", LogFormat::Json)];
 
 const LINKS: [(&str, Links); 2] = [("quic", Links::Quic), ("tcp", Links::Tcp)];
 
-/// The addresses of a daemon, each missing where it could not be read.
+/// The required addresses of a daemon, each `None` if it could not be read. With `one_port`,
+/// `callers` is `None` too.
 struct Addresses {
-    callers: Option<Place>,
-    outbound: Option<Place>,
-    link: Option<Place>,
-    operator: Option<Place>,
-    target: Option<Place>,
+    callers: Option<Endpoint>,
+    outbound: Option<Endpoint>,
+    link: Option<Endpoint>,
+    operator: Option<Endpoint>,
+    target: Option<Endpoint>,
 }
 
-/// The keys in the platform's store.
+/// The key of the rules and the key prefixes in the platform's store.
 struct Keys {
     rules: String,
     announce: String,
@@ -77,12 +77,12 @@
 }
 
 pub(crate) fn setting(text: &str) -> Result<Setting, Error> {
-    jsonc::read(text, MAX_TEXT, read)
+    jsonc::read(text, MAX_TEXT_BYTES, read)
 }
 
 fn read<'t>(reader: &mut Reader<'t>, root: &Value<'t>) -> Option<Setting> {
     let fields = reader.object(root, &FIELDS)?;
-    // Each field is read before any is asked for, so that one bad field hides no other's fault.
+    // All fields are read before the first `?` below, so that the faults of all are reported.
     let instance = parsed(reader, &fields, "instance");
     let zone = parsed(reader, &fields, "zone");
     let region = region(reader, &fields);
@@ -93,7 +93,7 @@
     let one_port = fields.get("one_port").and_then(|value| reader.flag(value));
     let one_port = one_port.unwrap_or(false);
     let addresses = addresses(reader, &fields, operator_public, one_port);
-    let announced = announced(reader, &fields, addresses.link.as_ref());
+    let announced = announced_address(reader, &fields, addresses.link.as_ref());
     let readiness = address::optional(reader, &fields, "readiness");
     let control = address::optional(reader, &fields, "control");
     let heartbeat = fields.get("heartbeat");
@@ -106,7 +106,7 @@
     let slots = slots.and_then(|value| reader.count(value, 1..=MAX_SLOTS));
     let store = reader.required(&fields, "store");
     let store = store.and_then(|value| store_addresses(reader, value));
-    let keys = keys(reader, &fields);
+    let keys = store_keys(reader, &fields);
     let limits = fields.get("limits");
     let limits = limits.and_then(|value| limits::read(reader, value));
     let log = fields.get("log");
@@ -114,7 +114,7 @@
     let log_format = fields.get("log_format");
     let log_format = log_format.and_then(|value| reader.choice(value, &FORMATS));
     let threads = fields.get("threads");
-    let threads = threads.and_then(|value| threads_of(reader, value));
+    let threads = threads.and_then(|value| thread_count(reader, value));
     Some(Setting {
         instance: instance?,
         zone: zone?,
@@ -160,7 +160,7 @@
     let Span(period) = reader.parsed(value)?;
     if period.is_zero() || period > MAX_HEARTBEAT {
         let cause = format!(
-            "a heartbeat each {}: expected more than 0s and at most {}",
+            "a heartbeat every {}: expected more than 0s and at most {}",
             Span(period),
             Span(MAX_HEARTBEAT)
         );
@@ -170,8 +170,9 @@
     Some(period)
 }
 
-/// Threads for as many cores as there are: a part of a core needs a whole thread.
-fn threads_of<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<u32> {
+/// Reads the number of threads from a number of cores, rounded up because a fraction of a core
+/// needs a thread of its own.
+fn thread_count<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<u32> {
     let text = reader.numeral(value).filter(|text| !text.is_empty())?;
     let cores = text.parse::<Decimal>().ok().and_then(Decimal::up);
     let threads = cores.and_then(|cores| u32::try_from(cores).ok());
@@ -184,7 +185,7 @@
     threads
 }
 
-/// A region is spelled as a zone is.
+/// Reads the region, which has the same syntax as a zone.
 fn region<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>) -> String {
     let default = || "local".to_string();
     let Some(value) = fields.get("region") else {
@@ -231,44 +232,44 @@
         addresses.operator,
         addresses.target,
     ];
-    let all: Vec<Place> = all.into_iter().flatten().collect();
-    check::distinct(reader, &all);
+    let all: Vec<Endpoint> = all.into_iter().flatten().collect();
+    check::distinct_ports(reader, &all);
     addresses
 }
 
-/// The address that is announced: its own field, or else that of `link`.
-fn announced<'t>(
+/// The announced address: the value of `link_announced` if present, otherwise that of `link`.
+fn announced_address<'t>(
     reader: &mut Reader<'t>,
     fields: &Fields<'_, 't>,
-    link: Option<&Place>,
+    link: Option<&Endpoint>,
 ) -> Option<SocketAddr> {
-    let own = fields.get("link_announced");
-    let place = match own {
+    let value = fields.get("link_announced");
+    let endpoint = match value {
         Some(value) => address::read(reader, value, "link_announced")?,
         None => *link?,
     };
-    check::specified(reader, &place);
-    Some(place.address)
+    check::specified(reader, &endpoint);
+    Some(endpoint.address)
 }
 
 fn store_addresses<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Vec<SocketAddr>> {
-    let list = reader.list(value, MAX_STORE)?;
+    let list = reader.list(value, MAX_STORE_ADDRESSES)?;
     let mut found: Vec<SocketAddr> = Vec::with_capacity(list.len());
     for value in list {
-        let Some(place) = address::read(reader, value, "store") else {
+        let Some(endpoint) = address::read(reader, value, "store") else {
             continue;
         };
-        check::specified(reader, &place);
-        if found.contains(&place.address) {
-            let cause = format!("{} is given twice: expected it once", place.address);
+        check::specified(reader, &endpoint);
+        if found.contains(&endpoint.address) {
+            let cause = format!("{} is given twice: expected it once", endpoint.address);
             reader.fault_at(value, cause);
         }
-        found.push(place.address);
+        found.push(endpoint.address);
     }
     Some(found)
 }
 
-fn keys<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>) -> Keys {
+fn store_keys<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>) -> Keys {
     let keys = Keys {
         rules: key(reader, fields, "rules_key", "rules"),
         announce: prefix(reader, fields, "announce_prefix", "instances/"),
@@ -288,7 +289,7 @@
     if nested {
         let cause = format!("{announce:?} and {ledger:?} overlap: expected separate prefixes");
         reader.fault(
-            place_of(fields, &["ledger_prefix", "announce_prefix"]),
+            first_offset(fields, &["ledger_prefix", "announce_prefix"]),
             cause,
         );
     }
@@ -297,15 +298,15 @@
             "{:?} lies under a prefix: expected a key outside",
             keys.rules
         );
-        let places = ["rules_key", "announce_prefix", "ledger_prefix"];
-        reader.fault(place_of(fields, &places), cause);
+        let names = ["rules_key", "announce_prefix", "ledger_prefix"];
+        reader.fault(first_offset(fields, &names), cause);
     }
 }
 
-/// Where the first of `names` that is given stands.
-fn place_of(fields: &Fields<'_, '_>, names: &[&str]) -> usize {
-    let given = names.iter().find_map(|name| fields.get(name));
-    given.map_or(fields.at(), jsonc::offset)
+/// The byte offset of the value of the first of `names` that is present, or else of the object.
+fn first_offset(fields: &Fields<'_, '_>, names: &[&str]) -> usize {
+    let value = names.iter().find_map(|name| fields.get(name));
+    value.map_or(fields.at(), jsonc::offset)
 }
 
 fn key<'t>(reader: &mut Reader<'t>, fields: &Fields<'_, 't>, name: &str, default: &str) -> String {
@@ -317,8 +318,8 @@
     };
     if !is_key(text) {
         let cause = format!(
-            "{text:?} is no key: expected 1 to {MAX_KEY} letters, digits, '-', '_', '.' and single \
-             '/' between them"
+            "{text:?} is not a key: expected 1 to {MAX_KEY_BYTES} letters, digits, '-', '_', '.' \
+             and single '/' between them"
         );
         reader.fault_at(value, cause);
     }
@@ -338,14 +339,14 @@
         return default.to_string();
     };
     if !text.strip_suffix('/').is_some_and(is_key) {
-        let cause = format!("{text:?} is no prefix: expected a key with '/' at its end");
+        let cause = format!("{text:?} is not a prefix: expected a key with '/' at its end");
         reader.fault_at(value, cause);
     }
     text.to_string()
 }
 
 fn is_key(text: &str) -> bool {
-    let known = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    let segment = |text: &str| !text.is_empty() && text.bytes().all(known);
-    text.len() <= MAX_KEY && text.split('/').all(segment)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    let is_segment = |text: &str| !text.is_empty() && text.bytes().all(is_allowed);
+    text.len() <= MAX_KEY_BYTES && text.split('/').all(is_segment)
 }
--- a/crates/setting/src/retry.rs
+++ b/crates/setting/src/retry.rs
@@ -1,19 +1,19 @@
-//! What the entries of the fleet may send again.
+//! The retry budget of the fleet's entries.
 
 use jsonc::{Reader, Value};
 use unit::Decimal;
 
 const FIELDS: [&str; 2] = ["share", "saved"];
-/// Above these a budget bounds nothing.
+/// A larger budget would have no limiting effect; the same holds for [`MAX_SHARE`].
 const MAX_SAVED: u64 = 1_000_000;
 const MAX_SHARE: f64 = 1.0;
 
-/// What all entries together may send again to one service.
+/// The budget of all entries together for retries to one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Retry {
-    /// Repeats for each request; 0.1 by default.
+    /// Retries per request; 0.1 by default.
     pub share: f64,
-    /// Repeats beyond that, within some seconds; 20 for each entry by default.
+    /// Additional retries within a few seconds; 20 for each entry by default.
     pub saved: Option<u32>,
 }
 
@@ -34,20 +34,21 @@
     let saved = saved.and_then(|value| budget(reader, value));
     Some(Retry {
         share: share.map_or(Retry::default().share, |share| share.get().min(MAX_SHARE)),
-        // Rounded down, and cut at the most that is kept: less than is allowed breaks no budget.
+        // Rounding down and capping at the maximum are safe: fewer retries never exceed the budget.
         saved: saved
             .and_then(Decimal::down)
             .map(|saved| saved.min(MAX_SAVED) as u32),
     })
 }
 
-/// A part of the budget, as the platform may have worked it out; an empty text tells none.
+/// Reads one value of the budget. The platform may compute the value; an empty string means that
+/// none is given.
 fn budget<'t>(reader: &mut Reader<'t>, value: &Value<'t>) -> Option<Decimal> {
     let text = reader.numeral(value).filter(|text| !text.is_empty())?;
     let found = text.parse::<Decimal>();
     let found = found.ok().filter(|found| found.get() >= 0.0);
     if found.is_none() {
-        let cause = format!("{text:?} is no budget: expected a number that is not negative");
+        let cause = format!("{text:?} is not a budget: expected a number that is not negative");
         reader.fault_at(value, cause);
     }
     found
--- a/crates/setting/tests/damaged.rs
+++ b/crates/setting/tests/damaged.rs
@@ -1,20 +1,20 @@
-//! Settings with damage of any kind are taken or refused with places, and never more than that.
+//! Damaged settings are accepted or rejected with valid positions, and parsing never panics.
 
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 use setting::Setting;
 
 fn config() -> Config {
-    let set = Config::default();
+    let default = Config::default();
     Config {
-        cases: set.cases.max(1_000),
+        cases: default.cases.max(1_000),
         failure_persistence: None,
-        ..set
+        ..default
     }
 }
 
-/// Pieces that mean something to the reader.
-const PIECES: [&str; 14] = [
+/// Tokens with a meaning in JSON with comments, and values at the edge of what is valid.
+const TOKENS: [&str; 14] = [
     "{",
     "}",
     "[",
@@ -31,17 +31,17 @@
     "\"\u{0}\"",
 ];
 
-/// What is put into a text: one of them, or anything.
-fn piece() -> impl Strategy<Value = String> {
+/// The text that replaces a part of the settings: one of [`TOKENS`], or arbitrary characters.
+fn replacement() -> impl Strategy<Value = String> {
     prop_oneof![
-        proptest::sample::select(&PIECES[..]).prop_map(str::to_string),
+        proptest::sample::select(&TOKENS[..]).prop_map(str::to_string),
         ".{0,12}",
     ]
 }
 
-/// A place of `text` between two characters, at `share` of a million of its length.
-fn place(text: &str, share: usize) -> usize {
-    let mut at = text.len() * share / 1_000_000;
+/// The last character boundary of `text` at or before `millionths` of its length.
+fn boundary(text: &str, millionths: usize) -> usize {
+    let mut at = text.len() * millionths / 1_000_000;
     while !text.is_char_boundary(at) {
         at -= 1;
     }
@@ -52,13 +52,13 @@
     #![proptest_config(config())]
 
     #[test]
-    fn damaged_settings_are_taken_or_refused_with_places(
-        from in 0_usize..1_000_000, cut in 0_usize..200, piece in piece(),
+    fn damaged_settings_are_accepted_or_rejected_with_positions(
+        from in 0_usize..1_000_000, cut in 0_usize..200, replacement in replacement(),
     ) {
         let example = Setting::example();
-        let from = place(example, from);
-        let to = place(example, ((from + cut).min(example.len()) * 1_000_000) / example.len());
-        let text = format!("{}{piece}{}", &example[..from], &example[to.max(from)..]);
+        let from = boundary(example, from);
+        let to = boundary(example, ((from + cut).min(example.len()) * 1_000_000) / example.len());
+        let text = format!("{}{replacement}{}", &example[..from], &example[to.max(from)..]);
         if let Err(error) = Setting::parse(&text) {
             prop_assert!(!error.faults().is_empty());
             let lines = text.lines().count() + 1;
--- a/crates/setting/tests/example.rs
+++ b/crates/setting/tests/example.rs
@@ -1,4 +1,4 @@
-//! The example that operators start from, and the defaults.
+//! The example settings and the defaults.
 
 use std::collections::BTreeSet;
 
@@ -27,7 +27,8 @@
     assert_eq!(short.threads, None);
 }
 
-/// The example names every field: those that a wrong document is told of, and no others.
+/// The example contains every field that the fault for an unknown field lists. It contains no other
+/// fields, because it would not parse with them.
 #[test]
 fn example_has_every_field() {
     let error = Setting::parse(r#"{ "x": 1, "limits": { "y": 1 } }"#).unwrap_err();
--- a/crates/setting/tests/files.rs
+++ b/crates/setting/tests/files.rs
@@ -1,4 +1,4 @@
-//! Every file of `good` parses, and every file of `bad` fails as it says.
+//! Every file in `good` parses, and every file in `bad` fails with the faults that it lists.
 
 use std::path::Path;
 
@@ -9,16 +9,16 @@
     Ok(())
 }
 
-/// Each `// expect:` line names a fault, in order, and there are no others.
+/// Each `// expect:` line gives the start of one fault, in order, and there are no other faults.
 fn bad(_: &Path, text: String) -> datatest_stable::Result<()> {
     let expected: Vec<&str> = text
         .lines()
         .filter_map(|line| line.strip_prefix("// expect: "))
         .collect();
-    assert!(!expected.is_empty(), "the file names no fault");
+    assert!(!expected.is_empty(), "the file lists no faults");
     let error = Setting::parse(&text)
         .err()
-        .ok_or("the settings were taken")?;
+        .ok_or("the settings were accepted")?;
     let found: Vec<String> = error.faults().iter().map(ToString::to_string).collect();
     assert_eq!(found.len(), expected.len(), "{error}");
     for (found, expected) in found.iter().zip(expected) {
