--- a/crates/feed/src/count.rs
+++ b/crates/feed/src/count.rs
@@ -1,4 +1,4 @@
-//! Messages and bytes by kind, for the control budget.
+//! Counts messages and bytes by kind, to check them against the control budget.
 
 use std::collections::BTreeMap;
 
@@ -7,32 +7,32 @@
 
 use crate::message::Kind;
 
-/// Bytes that a message of one packet adds to its payload: 100 of QUIC, measured by the example
-/// `link`, and the headers of IP and UDP of the packet and of the acknowledgement that it draws.
-pub const MESSAGE: u64 = 160;
-/// Bytes that each further packet adds, by the same measurement.
-pub const PACKET: u64 = 90;
-/// Payload that fits in one packet.
-const PAYLOAD: u64 = 1_200;
+/// Bytes that a message of one packet adds to its payload: 100 of QUIC, as the example `link`
+/// measures them, and the IP and UDP headers of the packet and of its acknowledgement.
+pub const MESSAGE_OVERHEAD: u64 = 160;
+/// Bytes that each further packet adds, measured in the same way.
+pub const PACKET_OVERHEAD: u64 = 90;
+/// Payload in bytes that fits in one packet.
+const PACKET_PAYLOAD: u64 = 1_200;
 
-/// The messages of one kind, answers included.
+/// The traffic of one kind of message, answers included.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Flow {
     /// Messages and answers sent.
     pub sent: u64,
-    /// Their payload in bytes.
+    /// Payload bytes sent.
     pub sent_bytes: u64,
     /// Messages and answers received.
     pub received: u64,
-    /// Their payload in bytes.
+    /// Payload bytes received.
     pub received_bytes: u64,
-    /// Payload, [`MESSAGE`] and [`PACKET`], both ways; without handshakes.
+    /// Payload bytes plus [`MESSAGE_OVERHEAD`] and [`PACKET_OVERHEAD`], both ways; without
+    /// handshakes.
     pub network_bytes: u64,
-    /// Messages that got no answer.
+    /// Messages without an answer.
     pub failed: u64,
 }
 
-/// Counts by kind.
 #[derive(Debug, Default)]
 pub(crate) struct Count {
     flows: Mutex<BTreeMap<Kind, Flow>>,
@@ -43,7 +43,7 @@
         self.add(kind, |flow| {
             flow.sent += 1;
             flow.sent_bytes += bytes as u64;
-            flow.network_bytes += network(bytes as u64);
+            flow.network_bytes += with_overhead(bytes as u64);
         });
     }
 
@@ -51,7 +51,7 @@
         self.add(kind, |flow| {
             flow.received += 1;
             flow.received_bytes += bytes as u64;
-            flow.network_bytes += network(bytes as u64);
+            flow.network_bytes += with_overhead(bytes as u64);
         });
     }
 
@@ -59,8 +59,8 @@
         self.add(kind, |flow| flow.failed += 1);
     }
 
-    /// How many messages and answers have come.
-    pub(crate) fn received_in_all(&self) -> u64 {
+    /// The number of messages and answers received, of all kinds.
+    pub(crate) fn total_received(&self) -> u64 {
         self.flows.lock().values().map(|flow| flow.received).sum()
     }
 
@@ -73,6 +73,6 @@
     }
 }
 
-fn network(bytes: u64) -> u64 {
-    bytes + MESSAGE + bytes.saturating_sub(1) / PAYLOAD * PACKET
+fn with_overhead(bytes: u64) -> u64 {
+    bytes + MESSAGE_OVERHEAD + bytes.saturating_sub(1) / PACKET_PAYLOAD * PACKET_OVERHEAD
 }
--- a/crates/feed/src/job.rs
+++ b/crates/feed/src/job.rs
@@ -1,4 +1,4 @@
-//! Work that a message or a loop leaves to the run.
+//! Work that messages and loops queue for the run.
 
 use std::sync::Arc;
 
@@ -6,43 +6,43 @@
 use unit::{Instance, Version};
 
 use crate::feed::Inner;
-use crate::message::News;
+use crate::message::Update;
 use crate::repair::Stale;
-use crate::{fetch, pulse, relay, repair, rules, sync};
+use crate::{fetch, heartbeat, relay, repair, rules, sync};
 
-/// One piece of work.
+/// A piece of queued work.
 #[derive(Debug)]
 pub(crate) enum Job {
-    /// Pass records on to the children in the tree.
-    Pass(News),
-    /// Tell all zones, and the instances themselves, of removals.
-    Removed(Vec<Record>),
-    /// Pass the rules in force on to the children in the tree.
+    /// Relay updated records to the children in the tree.
+    Relay(Update),
+    /// Send removals to all zones and to the removed instances.
+    Removals(Vec<Record>),
+    /// Relay the rules in force to the children in the tree.
     Push(Version),
     /// Fetch the newest rules from the daemons that have them.
     Fetch,
-    /// Beat to a daemon, and catch up with it.
+    /// Send a heartbeat to a daemon, and synchronize with it.
     Probe(Instance),
-    /// Tell the observers a vote.
+    /// Send a vote to the observers of its subject.
     Vote(Vote),
-    /// Compare rosters with a daemon whose digest was this.
+    /// Compare rosters with a daemon that reported this digest.
     Sync(Instance, u64),
-    /// Write objects again that the store has lost.
+    /// Rewrite objects that the store has lost.
     Restore(Vec<Record>),
     /// Delete objects of instances that are gone.
-    Sweep(Vec<Stale>),
+    DeleteStale(Vec<Stale>),
 }
 
 pub(crate) async fn run(inner: Arc<Inner>, job: Job) {
     match job {
-        Job::Pass(news) => relay::pass(&inner, news).await,
-        Job::Removed(records) => relay::removed(&inner, records).await,
+        Job::Relay(update) => relay::relay(&inner, update).await,
+        Job::Removals(records) => relay::broadcast_removed(&inner, records).await,
         Job::Push(version) => rules::push(&inner, version).await,
         Job::Fetch => fetch::run(&inner).await,
-        Job::Probe(to) => pulse::probe(&inner, &to).await,
-        Job::Vote(vote) => pulse::vote(&inner, vote).await,
+        Job::Probe(to) => heartbeat::probe(&inner, &to).await,
+        Job::Vote(vote) => heartbeat::vote(&inner, vote).await,
         Job::Sync(with, total) => sync::sync(&inner, &with, total).await,
         Job::Restore(records) => repair::restore(&inner, records).await,
-        Job::Sweep(stale) => repair::sweep(&inner, stale).await,
+        Job::DeleteStale(stale) => repair::delete_stale(&inner, stale).await,
     }
 }
--- a/crates/feed/src/watch.rs
+++ b/crates/feed/src/watch.rs
@@ -1,4 +1,4 @@
-//! What a daemon reads of the platform: once when it starts, and further as a watcher of its zone.
+//! Reads the platform once at the start, and watches it while this daemon is a watcher of its zone.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,29 +11,31 @@
 use crate::feed::Inner;
 use crate::platform::{self, Role};
 
-/// How often a daemon looks whether it is a watcher.
-const LOOK: Duration = Duration::from_secs(1);
-/// How many looks in a row must find that it is none before it stops to watch. Rosters differ
-/// for moments, and each start to watch costs a listing.
-const LOOKS: u32 = 5;
-/// The pauses between failed readings.
-const PAUSE: Duration = Duration::from_millis(50);
-
-/// How many instances of a zone watch the announcements. Whoever starts or leaves tells the others by
-/// links, so this watch only finds what they have missed; rules come by no other way.
+/// Interval at which a daemon checks whether it is a watcher.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of consecutive checks that must find this daemon not to be a watcher before it stops
+/// watching. Rosters differ for moments, and each new watch costs a listing.
+const RELEASE_CHECKS: u32 = 5;
+/// Initial pause between failed reads.
+const MIN_PAUSE: Duration = Duration::from_millis(50);
+
+/// Number of instances per zone that watch the announcements. Instances that start or leave notify
+/// the others over links, so this watch only finds what those have missed; rules have no other
+/// source.
 const INSTANCE_WATCHERS: usize = 1;
 
-/// How long a newcomer waits before it lists again. Those that have started with it have announced
-/// themselves by then: a call takes some milliseconds, and a start of all spreads over half a second.
-const SETTLE: Duration = Duration::from_millis(1_500);
+/// Delay before a newly started daemon lists again. Daemons that started at the same time have
+/// announced themselves by then: a call takes some milliseconds, and a simultaneous start of all
+/// spreads over half a second.
+const RELIST_DELAY: Duration = Duration::from_millis(1_500);
 
-/// How often a newcomer that still knows nobody lists again.
-const SETTLES: u32 = 3;
+/// Maximum number of further listings while no other instance is known.
+const MAX_RELISTS: u32 = 3;
 
-/// Over what time watchers read again when the store has come back from an older copy.
+/// Period over which watchers spread their reads after the store was restored from an older copy.
 const ROLLBACK_SPREAD: Duration = Duration::from_millis(200);
 
-/// What a watcher watches.
+/// The part of the platform that a watch covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Part {
     Instances,
@@ -42,57 +44,57 @@
 
 /// Reads the platform once, then watches it whenever this daemon is a watcher of its zone.
 pub(crate) async fn run(inner: Arc<Inner>) {
-    begin(&inner).await;
+    start(&inner).await;
     tokio::join!(watch(&inner, Part::Instances), watch(&inner, Part::Rules));
 }
 
 fn backoff(inner: &Inner) -> Backoff {
     let seed = inner.jitter(Duration::from_secs(1)).as_nanos() as u64;
-    Backoff::new(PAUSE, inner.pace.pause, seed)
+    Backoff::new(MIN_PAUSE, inner.pace.max_backoff, seed)
 }
 
-/// Reads the announcements, until it has them, and the rules.
+/// Lists the announcements, retrying until that succeeds, and then reads the rules once.
 ///
-/// Nobody else can tell a newcomer who is there: it knows no address, and no daemon accepts a
-/// link whose certificate isn't announced. Once it has the announcements it needs the platform no
-/// more: what the platform fails to tell, its neighbours do.
+/// A newly started daemon can only learn the other instances from the platform: it knows no
+/// address, and no daemon accepts a link whose certificate isn't announced. Once it has the
+/// announcements it no longer depends on the platform: neighbours supply what the platform doesn't.
 ///
-/// What is some seconds old is enough here: links tell what is new in it, and watchers read on from a
-/// listing that isn't old.
-async fn begin(inner: &Inner) {
+/// A result that is some seconds old is enough here: later changes arrive over links, and watchers
+/// continue from a linearizable listing.
+async fn start(inner: &Inner) {
     let mut backoff = backoff(inner);
     while let Err(error) = platform::list(inner, Role::Reader, Consistency::Serializable).await {
-        log::warn!("feed: {error}. Nobody is known yet.");
+        log::warn!("feed: {error}. No other instances are known yet.");
         sleep(backoff.pause()).await;
     }
     inner.listed.cancel();
-    first_rules(inner).await;
+    read_rules(inner).await;
     if inner.standing && !inner.with(|roster| roster.is_written()) {
-        settle(inner).await;
+        relist(inner).await;
     }
 }
 
-async fn first_rules(inner: &Inner) {
+async fn read_rules(inner: &Inner) {
     let rules = platform::rules(inner, Role::Reader, Consistency::Serializable).await;
     if let Err(error) = rules {
-        log::warn!("feed: {error}. The neighbours are asked.");
+        log::warn!("feed: {error}. Rules will come from neighbours.");
     }
 }
 
-/// Lists again some time after the own announcement, until somebody is known.
+/// Lists again some time after the own announcement, until another instance is known.
 ///
-/// Where all start for the first time at once, the first listing shows nobody or few. Each that took
-/// itself for a watcher then would list once more at the full price, and watch: with 195 daemons, 390
-/// calls that nobody needs.
-async fn settle(inner: &Inner) {
-    for _ in 0..SETTLES {
-        sleep(SETTLE + inner.jitter(SETTLE / 2)).await;
+/// If all daemons start for the first time at once, the first listing shows few or none. Each would
+/// then take itself for a watcher, make another linearizable listing, and watch: with 195 daemons,
+/// 390 unnecessary calls.
+async fn relist(inner: &Inner) {
+    for _ in 0..MAX_RELISTS {
+        sleep(RELIST_DELAY + inner.jitter(RELIST_DELAY / 2)).await;
         let listed = platform::list(inner, Role::Reader, Consistency::Serializable).await;
         if let Err(error) = listed {
-            log::warn!("feed: {error}. The others are not all known yet.");
+            log::warn!("feed: {error}. Some instances may not be known yet.");
         }
         if inner.current.version() == Version::NONE {
-            first_rules(inner).await;
+            read_rules(inner).await;
         }
         if inner.with(|roster| roster.peers().next().is_some()) {
             return;
@@ -100,13 +102,13 @@
     }
 }
 
-/// Watches one part whenever it falls to this daemon, for ever.
+/// Watches one part whenever this daemon is responsible for it. Never returns.
 async fn watch(inner: &Inner, part: Part) {
     let mut backoff = backoff(inner);
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         while is_watcher(inner, part) {
-            if let Err(error) = serve(inner, part, &mut backoff).await {
+            if let Err(error) = read_and_watch(inner, part, &mut backoff).await {
                 log::warn!("feed: {error}.");
                 sleep(backoff.pause()).await;
             }
@@ -124,8 +126,9 @@
     })
 }
 
-/// Reads one part, then watches it until this daemon is no watcher, or the watch can't go on.
-async fn serve(inner: &Inner, part: Part, backoff: &mut Backoff) -> Result<(), Error> {
+/// Reads one part, then watches it until this daemon is no longer a watcher, the watch fails or the
+/// store's era changes.
+async fn read_and_watch(inner: &Inner, part: Part, backoff: &mut Backoff) -> Result<(), Error> {
     let since = match part {
         Part::Instances => platform::list(inner, Role::Watcher, Consistency::Linearizable).await?,
         Part::Rules => platform::rules_at(inner).await?,
@@ -138,62 +141,72 @@
             Ok(())
         }
         result = follow(inner, part, since, backoff) => result,
-        () = relieved(inner, part) => {
-            log::info!("feed: others watch {part:?} on the platform.");
+        () = no_longer_watcher(inner, part) => {
+            log::info!("feed: stops watching {part:?}, other daemons watch it now.");
             Ok(())
         }
     }
 }
 
-/// Resolves when this daemon is no watcher any more.
-async fn relieved(inner: &Inner, part: Part) {
-    let mut looks = 0;
-    while looks < LOOKS {
-        sleep(LOOK).await;
-        looks = if is_watcher(inner, part) {
+/// Resolves once this daemon is no longer a watcher.
+async fn no_longer_watcher(inner: &Inner, part: Part) {
+    let mut checks = 0;
+    while checks < RELEASE_CHECKS {
+        sleep(CHECK_INTERVAL).await;
+        checks = if is_watcher(inner, part) {
             0
         } else {
-            looks + 1
+            checks + 1
         };
     }
 }
 
-/// Watches from `since` on, until a watch fails.
+/// Watches from revision `since` until a watch fails.
 ///
-/// All is read again then. A watch that the platform has forgotten leaves no other way, one that went
-/// silent may do so again, and what was lost during an outage shows only in a listing.
+/// The caller then reads everything again: the platform may have compacted the revision, an
+/// unresponsive watch may become so again, and changes lost during an outage only show in a
+/// listing.
 ///
-/// Behind an answer that tells something it waits for what comes in a row with it, to read that in one
-/// go: a watch costs a call each time that it answers. So it does behind one that comes early and empty.
+/// After an answer with changes it pauses, so that further changes in quick succession are read
+/// together: each answer of a watch costs a call. It also pauses after an empty answer that came
+/// early.
 ///
-/// The pauses behind failures begin anew once a watch has answered: left as they had grown in one outage,
-/// each failure for the rest of the process's life would keep news away for the longest of them.
+/// The backoff is reset once a watch has answered. Otherwise it would keep the length it reached in
+/// an outage, and every later failure would delay updates by the longest pause.
 async fn follow(
     inner: &Inner,
     part: Part,
     mut since: Version,
     backoff: &mut Backoff,
 ) -> Result<(), Error> {
-    let (key, wait, gather) = match part {
-        Part::Instances => (&inner.prefix, inner.pace.instances, inner.pace.gather),
-        Part::Rules => (&inner.rules_key, inner.pace.rules, inner.pace.gather_rules),
+    let (key, wait, pause) = match part {
+        Part::Instances => (
+            &inner.prefix,
+            inner.pace.instances_wait,
+            inner.pace.instances_pause,
+        ),
+        Part::Rules => (
+            &inner.rules_key,
+            inner.pace.rules_wait,
+            inner.pace.rules_pause,
+        ),
     };
     loop {
-        let begun = Instant::now();
+        let started = Instant::now();
         let change = platform::within_budget(|| inner.store.watch(key, since, wait)).await?;
         backoff.reset();
         since = change.revision;
-        take(inner, part, &change);
+        apply(inner, part, &change);
         let is_empty = change.changed.is_empty() && change.deleted.is_empty();
-        if !is_empty || begun.elapsed() < gather {
-            sleep(gather).await;
+        if !is_empty || started.elapsed() < pause {
+            sleep(pause).await;
         }
     }
 }
 
-fn take(inner: &Inner, part: Part, change: &Change) {
+fn apply(inner: &Inner, part: Part, change: &Change) {
     match part {
-        Part::Instances => platform::instances(inner, change),
+        Part::Instances => platform::apply_instances(inner, change),
         Part::Rules => {
             let objects = change.changed.iter();
             for object in objects.filter(|object| object.key == inner.rules_key) {
