--- a/crates/feed/src/count.rs
+++ b/crates/feed/src/count.rs
@@ -8,9 +8,9 @@
 use crate::message::Kind;
 
 /// Bytes that a message of one packet adds to its payload: 100 of QUIC, as the example `link`
-/// measures them, and the IP and UDP headers of the packet and of its acknowledgement.
+/// prints them, and the IP and UDP headers of the packet and of its acknowledgement.
 pub const MESSAGE_OVERHEAD: u64 = 160;
-/// Bytes that each further packet adds, measured in the same way.
+/// Bytes that each further packet adds, from the same example.
 pub const PACKET_OVERHEAD: u64 = 90;
 /// Payload in bytes that fits in one packet.
 const PACKET_PAYLOAD: u64 = 1_200;
--- a/crates/gate/src/builder.rs
+++ b/crates/gate/src/builder.rs
@@ -128,7 +128,8 @@
     ///
     /// If nearly every request has a path of its own, a bystander of a crash is seen again only
     /// when it is retried, and draining the target for each bystander would cost more than the
-    /// crash. When this is false, crashes are summed over all gates, and the third one convicts.
+    /// crash. When this is false, crashes reported by other gates count too: a kind has the largest
+    /// count that any gate knows of, and the third crash convicts.
     pub fn isolate_suspects(mut self, isolate: bool) -> Builder {
         self.setting.isolate_suspects = isolate;
         self
--- a/crates/gate/src/suspect.rs
+++ b/crates/gate/src/suspect.rs
@@ -123,10 +123,11 @@
 
     /// Adopts a suspicion from another gate; `next` is the next start here.
     ///
-    /// A plain suspicion counts as one crash, unless crashes are summed over all gates. A
-    /// conviction is adopted as such, because otherwise each target of the fleet would have to
-    /// crash once more. Suspicions that the other gate itself was sent are ignored, because two
-    /// gates would otherwise keep them alive by sending them back and forth.
+    /// A plain suspicion counts as one crash, unless crashes reported by other gates count too;
+    /// then the larger of both counts holds. A conviction is adopted as such, because otherwise each
+    /// target of the fleet would have to crash once more. Suspicions that the other gate itself was
+    /// sent are ignored, because two gates would otherwise keep them alive by sending them back and
+    /// forth.
     pub(crate) fn learn(&mut self, now: Instant, suspicion: &Suspicion, next: Seq) {
         if suspicion.learnt || suspicion.remaining.is_zero() {
             return;
